--- a/dispatch/budget.go
+++ b/dispatch/budget.go
@@ -2,17 +2,18 @@
 
 import "time"
 
-// budgetStep is the resolution of the window in which requests and repeats are counted.
+// budgetStep is the length of the buckets in which requests and repeats of the window are counted.
 const budgetStep = time.Second
 
-// Budget bounds the requests that are sent to a second endpoint, so that repeats never multiply an overload.
-// All daemons share one budget; each takes its own requests' part and an equal part of the fixed allowance.
+// Budget limits how many requests may be repeated on a second endpoint, so that repeats never multiply an overload.
+// There is one limit for each service, over all daemons: a daemon may spend Ratio times the requests that it received
+// itself, and an equal share of Extra.
 type Budget struct {
-	// Ratio is the number of repeats that each request of the window earns.
+	// Ratio is the number of repeats allowed for each request in the window.
 	Ratio float64
-	// Extra is the number of repeats that all daemons together may make in a window beyond that.
+	// Extra is the number of repeats that all daemons together may make in a window in addition to Ratio.
 	Extra float64
-	// Window is the time over which requests and repeats are counted.
+	// Window is the length of the sliding window over which requests and repeats are counted.
 	Window time.Duration
 	// Daemons is the number of daemons that share the budget.
 	Daemons int
@@ -20,51 +21,53 @@
 	services map[string]*budgetCounts
 }
 
+// budgetCounts holds the counts of one service, the oldest step first.
 type budgetCounts struct {
 	steps []budgetStepCount
 }
 
+// budgetStepCount counts the requests and repeats of one step, which begins at the time at.
 type budgetStepCount struct {
 	at                time.Time
 	requests, repeats float64
 }
 
-// NewBudget returns a budget without history.
+// NewBudget returns a budget without counted requests; its limits are zero until SetLimits is called.
 func NewBudget() *Budget {
 	return &Budget{Daemons: 1, services: map[string]*budgetCounts{}}
 }
 
-// SetLimits changes the limits; what was counted stays.
+// SetLimits changes the limits and keeps the counts.
 func (bud *Budget) SetLimits(ratio, extra float64, window time.Duration) {
 	bud.Ratio, bud.Extra, bud.Window = ratio, extra, window
 }
 
-// Request counts a caller's request for a service.
+// Request counts a request of a caller for a service.
 func (bud *Budget) Request(now time.Time, service string) {
 	bud.step(now, service).requests++
 }
 
-// Spend takes one repeat and reports whether there was one left.
+// Spend counts one repeat if the budget of the service allows it, and reports whether it does.
 func (bud *Budget) Spend(now time.Time, service string) bool {
 	step := bud.step(now, service)
-	if bud.left(service) < 1 {
+	if bud.remaining(service) < 1 {
 		return false
 	}
 	step.repeats++
 	return true
 }
 
-// Left returns the repeats left of each service that had requests.
+// Left returns the number of repeats that the budget still allows, for each service that had requests.
 func (bud *Budget) Left(now time.Time) map[string]float64 {
 	left := map[string]float64{}
 	for service := range bud.services {
 		bud.step(now, service)
-		left[service] = bud.left(service)
+		left[service] = bud.remaining(service)
 	}
 	return left
 }
 
-func (bud *Budget) left(service string) float64 {
+func (bud *Budget) remaining(service string) float64 {
 	var requests, repeats float64
 	for _, one := range bud.services[service].steps {
 		requests += one.requests
@@ -73,7 +76,7 @@
 	return bud.Ratio*requests + bud.Extra/float64(max(1, bud.Daemons)) - repeats
 }
 
-// step returns the count of the present step and drops those that left the window.
+// step returns the counts of the current step and drops the steps that are older than the window.
 func (bud *Budget) step(now time.Time, service string) *budgetStepCount {
 	cnt, ok := bud.services[service]
 	if !ok {
--- a/dispatch/desk.go
+++ b/dispatch/desk.go
@@ -1,5 +1,6 @@
-// Package dispatch decides which endpoint serves a request, which requests wait and which are turned away.
-// It does no input or output; its callers serialize the calls and pass the present time.
+// Package dispatch chooses the endpoint that serves a request, limits repeats, plans the copies of generations off a
+// leaving engine and refuses requests that crash endpoints. It does no input or output; its callers serialize the calls
+// and pass the current time.
 package dispatch
 
 import (
@@ -12,66 +13,76 @@
 )
 
 const (
-	// usageLifetime is how long the load that a peer told counts after its last word.
-	usageLifetime = 8 * time.Second
-	// reportLifetime is how long an endpoint's own word on its load counts.
+	// peerUsageLifetime is how long the load last reported by a peer is used. It is dropped when the peer has sent
+	// no update for this long.
+	peerUsageLifetime = 8 * time.Second
+	// reportLifetime is how long a load report of an endpoint is used.
 	reportLifetime = 2 * time.Second
-	// failureHalfLife is how fast failures are forgotten.
+	// failureHalfLife is the half-life of the counts of failures and successes.
 	failureHalfLife = 3 * time.Second
-	// unreachablePause is how long an endpoint that took no connection is tried last.
+	// unreachablePause is how long an endpoint is tried last after a connection to it could not be opened.
 	unreachablePause = time.Second
-	// unreachablePenalty puts such an endpoint behind all others; it is still tried before a request is refused.
+	// unreachablePenalty ranks an unreachable endpoint behind all others; it is still tried before a request is refused.
 	unreachablePenalty = 10.0
-	// failureWeight makes an endpoint that fails each request as unattractive as one with that many times its slots busy.
+	// failureWeight is the weight of the share of failed requests: an endpoint that fails every request scores like one
+	// with failureWeight times as many requests as slots.
 	failureWeight = 3.0
-	// distancePenalty prefers endpoints of the same failure domain while the loads are about equal.
+	// distancePenalty is added for endpoints in another failure domain than the daemon's, so that an endpoint of the
+	// daemon's domain is chosen while the loads are about equal.
 	distancePenalty = 0.04
-	// copyPenalty prefers destinations in the failure domain of the source, where a copy takes half as long.
-	// All generations of a leaving engine share its link, and there is hardly time for all of them.
+	// copyPenalty is added for destinations of a copy outside of the source's failure domain, as a copy inside the
+	// domain takes half as long. All generations of a leaving engine share its link, and there is hardly time to copy
+	// all of them.
 	copyPenalty = 0.6
-	// coldPenalty prefers endpoints that have not just started.
+	// coldPenalty is added for endpoints that have just started and are still slow.
 	coldPenalty = 0.3
-	// memoryLimit is the part of an engine's memory that expected generations may fill.
+	// memoryLimit is the part of an engine's memory that the expected sizes of its generations may fill.
 	memoryLimit = 0.95
-	// prefillTokensPerSecond is how fast an engine reads prompts beside running generations:
+	// prefillTokensPerSecond is how fast an engine computes prompts while it also decodes running generations:
 	// a chunk of 112 tokens in each step of about 15 ms.
 	prefillTokensPerSecond = 7000
-	// briefLimit is how far brief requests may fill an engine, as they are gone before the others have grown.
+	// briefLimit is the utilization up to which brief requests may fill an engine. It is above 1 because a brief request
+	// ends and releases its memory before the other generations reach their expected sizes.
 	briefLimit = 1.08
 	// delayLimit is the expected time to the first event, as a part of its target, above which an engine is full:
-	// a generation that begins late is worth a sixth, and takes the place of one that could begin in time.
+	// a generation that starts late has a sixth of its worth, and takes the place of one that could start in time.
 	delayLimit = 0.8
-	// memoryWeight weighs the use of memory against the wait for the first event as a part of its target.
+	// memoryWeight is the weight of the utilization in an engine's score; the expected time to the first event, as a
+	// part of its target, has a weight of 1.
 	memoryWeight = 0.3
 )
 
-// Reason says why no endpoint was chosen.
+// Reason is why no endpoint was chosen.
 type Reason string
 
-// The reasons.
+// The reasons why no endpoint was chosen.
 const (
+	// ReasonNoEndpoint means that no endpoint accepts new requests of the service.
 	ReasonNoEndpoint Reason = "noEndpoint"
-	ReasonFull       Reason = "full"
+	// ReasonFull means that there are such endpoints, but all of them are full.
+	ReasonFull Reason = "full"
 )
 
-// Request is what a decision needs to know of a request.
+// Request holds the properties of a request that the choice of an endpoint depends on.
 type Request struct {
 	Service string
 	Work
-	// Target is the time to the first event that is on time; 0 for plain services.
+	// Target is the time within which the first event should arrive; 0 for plain services.
 	Target time.Duration
-	// Source is the failure domain of the engine that a generation is copied from; empty for new requests.
+	// Source is the failure domain of the engine from which a generation is copied; empty for new requests.
 	Source string
 	// Excluded endpoints are not considered.
 	Excluded map[string]bool
-	// Preferred endpoints are considered first, the others if none of them takes work; nil prefers none.
+	// Preferred holds the engines to consider first. The other engines are considered only if no preferred one accepts
+	// new requests, not if the preferred ones are full. If it is nil, all engines are considered.
 	Preferred map[string]bool
-	// Force chooses the best endpoint also if all are full.
+	// Force makes Choose return the best endpoint even if all are full.
 	Force bool
-	// Brief requests end soon and may fill an engine a little more.
+	// Brief marks a request that is expected to end soon; it may fill an engine up to briefLimit.
 	Brief bool
 }
 
+// limit returns the utilization above which an endpoint is full for the request.
 func (req *Request) limit() float64 {
 	if req.Brief {
 		return briefLimit
@@ -79,75 +90,83 @@
 	return 1
 }
 
-// Choice is the outcome of a decision.
+// Choice is the result of Choose: an endpoint, or the reason why there is none.
 type Choice struct {
 	Endpoint *catalog.Endpoint
 	Reason   Reason
-	// Score is the endpoint's rating; lower values are better.
+	// Score is the score of the chosen endpoint; lower values are better.
 	Score float64
-	// Considered is the number of endpoints that take work.
+	// Considered is the number of endpoints that accept new requests of the service, full ones included.
 	Considered int
 }
 
-// Work is what a request asks of an engine; it is zero for plain services.
+// Work is the load that a request puts on an engine; it is zero for plain services.
 type Work struct {
-	// Tokens is the memory that the request is expected to need in the end.
+	// Tokens is the memory in tokens that the request is expected to hold when it ends.
 	Tokens int
-	// Prefill is the number of prompt tokens that the engine reads before the first event.
+	// Prefill is the number of prompt tokens that the engine computes before the first event.
 	Prefill int
 }
 
-// Flight is a request at an endpoint.
+// Flight is a request in flight at an endpoint.
 type Flight struct {
 	Endpoint string
 	Work     Work
 }
 
-// Usage is the work that a daemon has at an endpoint.
+// Usage sums up the requests that a daemon has in flight at an endpoint.
 type Usage struct {
 	Flights int `json:"flights"`
 	Tokens  int `json:"tokens,omitempty"`
-	// Prefill is the number of prompt tokens of the flights without a first event.
+	// Prefill is the number of prompt tokens of the requests that have had no event yet.
 	Prefill int `json:"prefill,omitempty"`
 }
 
-// Report is an endpoint's own word on its load.
+// Report is a load report of an endpoint; it counts the requests of all daemons.
 type Report struct {
 	Running, Waiting int
-	At               time.Time
-	// own is the number of this daemon's flights when the report came.
-	own int
+	// At is when the report was received.
+	At time.Time
+	// ownFlights is the number of requests that this daemon had in flight there when it received the report.
+	ownFlights int
 }
 
-// Desk keeps what a daemon knows of the endpoints' load and health.
+// Desk tracks the load and the failures of each endpoint and chooses endpoints by them.
 type Desk struct {
+	// FailureDomain is the failure domain of the daemon.
 	FailureDomain string
 
 	endpoints map[string]*endpoint
 }
 
+// endpoint is the state of one endpoint.
 type endpoint struct {
+	// own sums up the requests of this daemon.
 	own Usage
-	// peers has what other daemons told of their work there.
-	peers      map[string]peerUsage
-	report     Report
-	failures   float64
-	successes  float64
-	countedAt  time.Time
+	// peers holds the usage that the other daemons last reported, by the name of the daemon.
+	peers  map[string]peerUsage
+	report Report
+	// failures and successes are counts that decay by failureHalfLife; countedAt is when they last decayed.
+	failures  float64
+	successes float64
+	countedAt time.Time
+	// avoidUntil is the time until which the endpoint counts as unreachable.
 	avoidUntil time.Time
 }
 
+// peerUsage is the usage that another daemon reported, and when the report was received.
 type peerUsage struct {
 	usage Usage
 	at    time.Time
 }
 
-// NewDesk returns a desk that knows nothing yet.
+// NewDesk returns a desk without any recorded load or failure.
 func NewDesk() *Desk {
 	return &Desk{endpoints: map[string]*endpoint{}}
 }
 
-// Choose rates the endpoints that take work and returns the best.
+// Choose scores the endpoints that accept new requests of the service and returns the best one that is not full.
+// The preference for some endpoints applies to engines only.
 func (dsk *Desk) Choose(now time.Time, rnd *rand.Rand, cat *catalog.Catalog, flt catalog.FleetView, req *Request) Choice {
 	if req.Preferred != nil && cat.Services[req.Service].Engine != nil {
 		if choice := dsk.choose(now, rnd, cat, flt, req, true); choice.Considered > 0 {
@@ -157,6 +176,8 @@
 	return dsk.choose(now, rnd, cat, flt, req, false)
 }
 
+// choose chooses among all eligible endpoints, or among the preferred ones only.
+// It adds a small random amount to each score to break ties.
 func (dsk *Desk) choose(now time.Time, rnd *rand.Rand, cat *catalog.Catalog, flt catalog.FleetView, req *Request, preferred bool) Choice {
 	choice := Choice{Reason: ReasonNoEndpoint, Score: math.Inf(1)}
 	engine := cat.Services[req.Service].Engine
@@ -183,7 +204,7 @@
 	return choice
 }
 
-// eligible reports whether an endpoint takes the request at any load.
+// eligible reports whether an endpoint may serve the request, whatever its load, and returns the endpoint's state.
 func (dsk *Desk) eligible(flt catalog.FleetView, edp *catalog.Endpoint, req *Request) (*endpoint, bool) {
 	if edp.Service != req.Service || edp.State != catalog.StateReady || req.Excluded[edp.ID] {
 		return nil, false
@@ -194,12 +215,12 @@
 	return dsk.endpoint(edp.ID), true
 }
 
-// rate scores an endpoint, lower is better, and reports whether it is full.
+// rate returns the score of an endpoint, lower values being better, and whether the endpoint is full.
 func (dsk *Desk) rate(now time.Time, sta *endpoint, edp *catalog.Endpoint, engine *catalog.Engine, req *Request) (score float64, full bool) {
-	use := sta.use(now, edp, engine, req)
+	use := sta.utilization(now, edp, engine, req)
 	score, full = use, use > req.limit()
 	if engine != nil {
-		delay := sta.firstDelay(now, req)
+		delay := sta.firstEventDelay(now, req)
 		score, full = memoryWeight*use+delay, full || delay > delayLimit
 	}
 	score += failureWeight * sta.failureShare(now)
@@ -218,18 +239,20 @@
 	return score, full
 }
 
-// use is the part of the endpoint's capacity that is taken with the request on it; 1 is full.
-func (sta *endpoint) use(now time.Time, edp *catalog.Endpoint, engine *catalog.Engine, req *Request) float64 {
+// utilization returns the part of the endpoint's capacity that is in use once the request is added: the greater of the
+// parts of its slots and of its memory. At 1 the endpoint is full.
+func (sta *endpoint) utilization(now time.Time, edp *catalog.Endpoint, engine *catalog.Engine, req *Request) float64 {
 	flights, tokens := sta.own.Flights, sta.own.Tokens
 	for _, per := range sta.peers {
-		if now.Sub(per.at) < usageLifetime {
+		if now.Sub(per.at) < peerUsageLifetime {
 			flights += per.usage.Flights
 			tokens += per.usage.Tokens
 		}
 	}
 	if now.Sub(sta.report.At) < reportLifetime {
-		// The report counts all daemons' work at its time; what this daemon began since comes on top.
-		flights = max(flights, sta.report.Running+sta.report.Waiting+sta.own.Flights-sta.report.own)
+		// The report counts the requests of all daemons when it was made, so only the change in the number of this
+		// daemon's requests since then is added.
+		flights = max(flights, sta.report.Running+sta.report.Waiting+sta.own.Flights-sta.report.ownFlights)
 	}
 	use := float64(flights+1) / float64(edp.Slots)
 	if engine != nil && engine.CapacityTokens > 0 {
@@ -238,20 +261,20 @@
 	return use
 }
 
-// firstDelay is the expected time to the first event as a part of its target.
-// New engines are empty and get the requests of all daemons at once: their prompts are read one after the other,
-// and only the daemons' own counts show that in time.
-func (sta *endpoint) firstDelay(now time.Time, req *Request) float64 {
+// firstEventDelay returns the expected time to the first event as a part of its target.
+// All daemons send requests to a new, empty engine at once, and it computes their prompts one after the other.
+// Only the counts that the daemons send to each other show this in time; the engine's reports come too late.
+func (sta *endpoint) firstEventDelay(now time.Time, req *Request) float64 {
 	pending := float64(sta.own.Prefill)
 	for _, per := range sta.peers {
-		if age := now.Sub(per.at); age < usageLifetime {
+		if age := now.Sub(per.at); age < peerUsageLifetime {
 			pending += max(0, float64(per.usage.Prefill)-prefillTokensPerSecond*age.Seconds())
 		}
 	}
 	return (pending + float64(req.Prefill)) / prefillTokensPerSecond / max(req.Target, time.Second).Seconds()
 }
 
-// Begin counts a request that is sent to an endpoint.
+// Begin counts a request that is about to be sent to an endpoint.
 func (dsk *Desk) Begin(id string, wrk Work) *Flight {
 	sta := dsk.endpoint(id)
 	sta.own.Flights++
@@ -260,13 +283,13 @@
 	return &Flight{Endpoint: id, Work: wrk}
 }
 
-// Started notes the first event of a flight.
+// Started records the first event of a request: its prompt has been computed.
 func (dsk *Desk) Started(flt *Flight) {
 	dsk.endpoint(flt.Endpoint).own.Prefill -= flt.Work.Prefill
 	flt.Work.Prefill = 0
 }
 
-// End counts a request that has ended at an endpoint.
+// End removes a request that has ended from the counts of its endpoint.
 func (dsk *Desk) End(flt *Flight) {
 	sta := dsk.endpoint(flt.Endpoint)
 	sta.own.Flights--
@@ -274,20 +297,21 @@
 	sta.own.Prefill -= flt.Work.Prefill
 }
 
-// Reported takes in an endpoint's own word on its load.
+// Reported records a load report of an endpoint.
 func (dsk *Desk) Reported(now time.Time, id string, running, waiting int) {
 	sta := dsk.endpoint(id)
-	sta.report = Report{Running: running, Waiting: waiting, At: now, own: sta.own.Flights}
+	sta.report = Report{Running: running, Waiting: waiting, At: now, ownFlights: sta.own.Flights}
 }
 
-// Succeeded counts an answer.
+// Succeeded counts an answer of an endpoint.
 func (dsk *Desk) Succeeded(now time.Time, id string) {
 	sta := dsk.endpoint(id)
 	sta.decay(now)
 	sta.successes++
 }
 
-// Failed counts a failure; an endpoint that took no connection is left alone for a while.
+// Failed counts a failure of an endpoint. If no connection to it could be opened (unreachable), it is tried last for the
+// next unreachablePause.
 func (dsk *Desk) Failed(now time.Time, id string, unreachable bool) {
 	sta := dsk.endpoint(id)
 	sta.decay(now)
@@ -297,7 +321,8 @@
 	}
 }
 
-// Peer takes in the work that another daemon has at some endpoints.
+// Peer records the usage that another daemon reports, by endpoint. Endpoints that are not in the report keep their
+// recorded usage; a zero usage removes it.
 func (dsk *Desk) Peer(now time.Time, name string, usage map[string]Usage) {
 	for id, usg := range usage {
 		sta := dsk.endpoint(id)
@@ -312,7 +337,7 @@
 	}
 }
 
-// Work returns the work of this daemon at an endpoint.
+// Work returns the usage of an endpoint by this daemon.
 func (dsk *Desk) Work(id string) Usage {
 	if sta, ok := dsk.endpoints[id]; ok {
 		return sta.own
@@ -320,7 +345,7 @@
 	return Usage{}
 }
 
-// Own returns the work of this daemon by endpoint.
+// Own returns the usage by this daemon of each endpoint at which it has requests in flight.
 func (dsk *Desk) Own() map[string]Usage {
 	own := map[string]Usage{}
 	for id, sta := range dsk.endpoints {
@@ -331,14 +356,14 @@
 	return own
 }
 
-// Ages returns the age of the oldest report of an endpoint and of the oldest word of a peer that count in decisions.
+// Ages returns the ages of the oldest endpoint report and of the oldest peer usage that Choose still uses.
 func (dsk *Desk) Ages(now time.Time) (report, peer time.Duration) {
 	for _, sta := range dsk.endpoints {
 		if age := now.Sub(sta.report.At); age < reportLifetime {
 			report = max(report, age)
 		}
 		for _, per := range sta.peers {
-			if age := now.Sub(per.at); age < usageLifetime {
+			if age := now.Sub(per.at); age < peerUsageLifetime {
 				peer = max(peer, age)
 			}
 		}
@@ -346,20 +371,22 @@
 	return report, peer
 }
 
-// Forget drops what is known of endpoints that are not listed and have no work.
+// Forget removes the state of endpoints that are not in the fleet and at which this daemon has no requests in flight.
+// It also removes expired usage of peers.
 func (dsk *Desk) Forget(now time.Time, flt catalog.FleetView) {
 	for id, sta := range dsk.endpoints {
 		if _, listed := flt.Endpoints[id]; !listed && sta.own.Flights == 0 {
 			delete(dsk.endpoints, id)
 		}
 		for name, per := range sta.peers {
-			if now.Sub(per.at) >= usageLifetime {
+			if now.Sub(per.at) >= peerUsageLifetime {
 				delete(sta.peers, name)
 			}
 		}
 	}
 }
 
+// endpoint returns the state of an endpoint, and creates it if there is none.
 func (dsk *Desk) endpoint(id string) *endpoint {
 	sta, ok := dsk.endpoints[id]
 	if !ok {
@@ -369,6 +396,7 @@
 	return sta
 }
 
+// decay reduces the counts of failures and successes by the time since the last call.
 func (sta *endpoint) decay(now time.Time) {
 	if elapsed := now.Sub(sta.countedAt); elapsed > 0 && !sta.countedAt.IsZero() {
 		factor := math.Exp2(-float64(elapsed) / float64(failureHalfLife))
@@ -378,13 +406,14 @@
 	sta.countedAt = now
 }
 
-// failureShare is the share of failures of late, taken as if one more request had succeeded.
+// failureShare returns the recent share of failed requests, computed as if one more request had succeeded:
+// a single failure without a success thus gives a share of one half.
 func (sta *endpoint) failureShare(now time.Time) float64 {
 	sta.decay(now)
 	return sta.failures / (sta.failures + sta.successes + 1)
 }
 
-// String describes the choice for the log.
+// String describes the choice for log messages and for refusals.
 func (cho Choice) String() string {
 	if cho.Endpoint == nil {
 		return fmt.Sprintf("%s of %d endpoints", cho.Reason, cho.Considered)
--- a/dispatch/desk_test.go
+++ b/dispatch/desk_test.go
@@ -40,7 +40,7 @@
 	Reason Reason
 }
 
-// Each case of testdata/desk.yaml replays a load pattern against one decision.
+// TestChoose checks one decision under each load pattern of testdata/desk.yaml.
 func TestChoose(t *testing.T) {
 	data, err := os.ReadFile("testdata/desk.yaml")
 	if err != nil {
@@ -107,7 +107,7 @@
 	return dsk.Choose(testNow, rnd, cat, vew, &req)
 }
 
-// apply brings the desk to know what the case says of the engine.
+// apply records the load and the failures of the case's engine in the desk.
 func (eng *deskEngine) apply(dsk *Desk, id string) {
 	for _, wrk := range eng.Own {
 		dsk.Begin(id, wrk)
@@ -129,7 +129,7 @@
 	}
 }
 
-// Counts must return to zero, or an engine looks busier with each request.
+// Counts must return to zero when all requests have ended. Otherwise an engine looks busier after each request.
 func TestFlightsEnd(t *testing.T) {
 	dsk := NewDesk()
 	one, two := dsk.Begin("e", Work{Tokens: 30, Prefill: 20}), dsk.Begin("e", Work{Tokens: 5, Prefill: 5})
@@ -144,7 +144,7 @@
 	}
 }
 
-// All daemons together must stay within the ratio and the allowance, however requests and repeats mix.
+// All daemons together must stay within the ratio and the fixed allowance, in whatever order requests and repeats come.
 func TestBudgetIsShared(t *testing.T) {
 	const daemons, requests = 7, 300
 	total := 0
@@ -168,7 +168,7 @@
 	}
 }
 
-// Copies must follow each other over the engine's link, the same for all daemons, the smallest first.
+// Copies must run one after the other over the engine's link, the smallest first, in the same order at all daemons.
 func TestCopyPlan(t *testing.T) {
 	copies := []Copy{{"c", 3000}, {"a", 1000}, {"b", 1000}}
 	perToken := func(tokens int) time.Duration { return time.Duration(tokens) * 100 * time.Microsecond }
@@ -181,7 +181,8 @@
 	}
 }
 
-// Members that know each other must choose the same users, and each engine must have its number of them.
+// Members with the same member list in different orders must choose the same users, each engine must have the requested
+// number of users, and the engines must be spread over the members.
 func TestUsersAgree(t *testing.T) {
 	members := []string{"d1", "d2", "d3", "d4", "d5", "d6", "d7", "d8", "d9"}
 	other := []string{"d9", "d8", "d7", "d6", "d5", "d4", "d3", "d2", "d1"}
--- a/dispatch/rendezvous.go
+++ b/dispatch/rendezvous.go
@@ -7,9 +7,10 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Users returns the members that send work to an endpoint: those with the highest hashes, all if there are few.
-// Members that know the same members choose alike, so each endpoint's users can tell each other of all its work;
-// if every daemon used every engine, none could know in time what the others have just sent.
+// Users returns the members that may send work to an endpoint, chosen by rendezvous hashing: the count members with the
+// highest hashes, or all members if there are not more than count. Daemons with the same member list compute the same
+// users, so the users of an endpoint can report their load there to each other. If every daemon sent work to every
+// engine, load reports could not reach all of them in time to take recent sends into account.
 func Users(endpoint string, members []string, count int) []string {
 	if len(members) <= count {
 		return members
--- a/dispatch/suspects.go
+++ b/dispatch/suspects.go
@@ -3,25 +3,28 @@
 import "time"
 
 const (
-	// suspectCrashes is the number of endpoints that a request crashes before it is run no more.
+	// suspectCrashes is the number of different endpoints that must have crashed while they ran a request before the
+	// request is refused.
 	suspectCrashes = 3
-	// suspectMemory is how long a crash is remembered.
-	suspectMemory = 2 * time.Minute
-	// maxSuspects bounds the requests that are remembered.
+	// suspectRetention is how long a crash is counted.
+	suspectRetention = 2 * time.Minute
+	// maxSuspects bounds the number of requests whose crashes are counted; crashes of further requests are ignored.
 	maxSuspects = 4096
 )
 
-// Suspects remembers requests that may crash each endpoint that runs them; their callers send them again and again.
+// Suspects counts the endpoint crashes of each request, by the request's digest. A request that crashes its endpoint is
+// repeated on other endpoints, as its caller sends it again, and may crash them all.
 type Suspects struct {
 	crashes map[uint64]map[string]time.Time
 }
 
-// NewSuspects returns suspects without any.
+// NewSuspects returns an empty set of suspects.
 func NewSuspects() *Suspects {
 	return &Suspects{crashes: map[uint64]map[string]time.Time{}}
 }
 
-// Crashed notes that an endpoint crashed while it ran the request with a digest.
+// Crashed records that an endpoint crashed while it ran the request with the given digest.
+// Only the first crash of each pair of request and endpoint is recorded.
 func (sus *Suspects) Crashed(now time.Time, digest uint64, endpoint string) {
 	if _, known := sus.crashes[digest]; !known {
 		sus.prune(now)
@@ -35,32 +38,33 @@
 	}
 }
 
-// Condemned reports whether a request has crashed so many endpoints that no other one may run it.
+// Condemned reports whether a request has crashed so many endpoints that it must not be run again.
 func (sus *Suspects) Condemned(now time.Time, digest uint64) bool {
 	count := 0
 	for _, at := range sus.crashes[digest] {
-		if now.Sub(at) < suspectMemory {
+		if now.Sub(at) < suspectRetention {
 			count++
 		}
 	}
 	return count >= suspectCrashes
 }
 
-// Each calls a function with each crash that is remembered.
+// Each calls visit for each recorded crash that has not expired.
 func (sus *Suspects) Each(now time.Time, visit func(digest uint64, endpoint string)) {
 	for digest, crashes := range sus.crashes {
 		for endpoint, at := range crashes {
-			if now.Sub(at) < suspectMemory {
+			if now.Sub(at) < suspectRetention {
 				visit(digest, endpoint)
 			}
 		}
 	}
 }
 
+// prune removes expired crashes and the requests without any other crash.
 func (sus *Suspects) prune(now time.Time) {
 	for digest, crashes := range sus.crashes {
 		for endpoint, at := range crashes {
-			if now.Sub(at) >= suspectMemory {
+			if now.Sub(at) >= suspectRetention {
 				delete(crashes, endpoint)
 			}
 		}
