--- a/routing/affinity.go
+++ b/routing/affinity.go
@@ -6,10 +6,10 @@
 	"papayacroft/inventory"
 )
 
-// prefixHome returns the position of the engine that all daemons prefer for a prompt prefix, by rendezvous hashing
-// over the usable engines, or -1 without any. It needs no memory of sends and no messages: with 400 daemons one daemon
-// sees too few requests of a prefix to learn where it is cached, and all engines' cache events would exceed the
-// control budget.
+// prefixHome returns the index of the home of a prompt prefix: the engine that all daemons prefer for the prefix, so
+// that its cache holds it. It is chosen by rendezvous hashing over the usable engines; -1 means that there is none.
+// Hashing needs neither a record of sends nor messages. With 400 daemons, one daemon sees too few requests with a prefix
+// to learn where the prefix is cached, and sending the cache events of all engines would exceed the control budget.
 func prefixHome(digest string, engines []inventory.Endpoint, usable func(edp *inventory.Endpoint) bool) int {
 	home, highest := -1, uint64(0)
 	hash := xxhash.New()
@@ -25,7 +25,8 @@
 	return home
 }
 
-// findHome sets the home of the request's prefix in a pool and returns its position, or -1.
+// findHome sets the home of the request's prefix in a pool and returns its index, or -1 if the prefix has no home.
+// A request with a margin has none: an organisation that uses more than its share gets no prefix affinity.
 func (sel *selection) findHome(endpoints []inventory.Endpoint) int {
 	sel.home = nil
 	if sel.request.Model == "" || sel.request.PrefixDigest == "" || sel.request.Margin > 0 || sel.view.Without.Prefix {
--- a/routing/decide.go
+++ b/routing/decide.go
@@ -11,45 +11,49 @@
 )
 
 const (
-	// failureMemory is the time for which a failed endpoint is avoided.
-	failureMemory = 2 * time.Second
-	// modelMemory is the time for which a report that lacks a model is believed, since placement may load it meanwhile.
-	modelMemory = 5 * time.Second
+	// failureBackoff is how long an endpoint gets no requests after a failure.
+	failureBackoff = 2 * time.Second
+	// modelListLifetime is how long the models in a load report are used. After that an engine may get requests for a
+	// model that its report doesn't list, since placement may have loaded the model in the meantime.
+	modelListLifetime = 5 * time.Second
 	// DefaultSample is the number of usable engines that a decision compares.
 	DefaultSample = 4
-	// serviceSample is the number of plain services that a decision compares.
+	// serviceSample is the number of usable endpoints of a plain service that a decision compares.
 	serviceSample = 2
 )
 
-// Statuses tells what is known of an endpoint.
+// Statuses provides the status of each endpoint and the expected course of running generations.
 type Statuses interface {
 	Status(name string) EndpointStatus
-	// Survival is the share of generations expected to run on at each horizon.
+	// Survival returns the shares of generations, and of their memory, that are expected to remain at each horizon.
 	Survival() Survival
 }
 
-// View is what a decision is based on.
+// View holds the configuration and the state that a decision is based on.
 type View struct {
 	// Index is nil if no configuration is in force.
-	Index         *inventory.Index
-	Statuses      Statuses
+	Index    *inventory.Index
+	Statuses Statuses
+	// FailureDomain is the failure domain of the daemon.
 	FailureDomain string
-	// Sample is the number of usable engines to compare; 0 stands for DefaultSample.
+	// Sample is the number of usable engines to compare; 0 means DefaultSample.
 	Sample int
-	// Closed holds engines that a request which may crash them has to itself.
+	// Closed holds the engines that take no other request, because a request that is suspected of crashing engines
+	// runs there alone.
 	Closed map[string]bool
-	// MemoryMargin is the part of an engine's memory that is never reserved; 0 stands for capacityMargin.
+	// MemoryMargin is the part of an engine's memory that is never reserved; 0 means capacityMargin.
 	MemoryMargin float64
-	// Without switches mechanisms off for measurements.
+	// Without disables mechanisms, for measurements of their effect.
 	Without Mechanisms
 }
 
-// Mechanisms names parts of the engines' score and checks.
+// Mechanisms selects mechanisms of the scoring of engines: the check of projected memory, the token interval, the
+// preference for the home of a prefix, and the correction of load reports by this daemon's own sends.
 type Mechanisms struct {
 	Memory, Interval, Prefix, Correction bool
 }
 
-// Decide chooses an endpoint for a request or says why there is none.
+// Decide chooses an endpoint for a request, or returns the code and the reason of the refusal.
 func Decide(now time.Time, rnd *rand.Rand, vew View, req Request) Decision {
 	if vew.Index == nil {
 		return Decision{Code: CodeNoConfiguration, Reason: "no configuration is in force"}
@@ -86,12 +90,15 @@
 	request  Request
 	sample   int
 	survival Survival
-	// deviations is the number of standard deviations that the request's level stands for.
+	// deviations is the number of standard deviations above the mean at which the request's level lies.
 	deviations float64
-	approvals  map[string]bool
-	approved   bool
-	full       bool
-	// home is the engine of the pool at hand that is preferred for the request's prefix.
+	// approvals caches, by owner, whether the owner has approved the request's team.
+	approvals map[string]bool
+	// approved is true if the owner of any examined endpoint has approved the team.
+	approved bool
+	// full is true if any engine was rejected only because it is full.
+	full bool
+	// home is the preferred engine for the request's prefix in the pool that is being examined.
 	home      *inventory.Endpoint
 	best      *inventory.Endpoint
 	bestScore score
@@ -99,7 +106,8 @@
 	rejected  []Rejection
 }
 
-// examine scores endpoints, the prefix's home first and the others in random order, until enough usable ones were compared.
+// examine scores endpoints, the home of the prefix first and the others in random order, until sample usable ones have
+// been compared.
 func (sel *selection) examine(rnd *rand.Rand, endpoints []inventory.Endpoint) {
 	order := make([]int32, len(endpoints))
 	for i := range order {
@@ -120,6 +128,7 @@
 	}
 }
 
+// consider rejects an endpoint with a reason, or compares its score with the best one so far.
 func (sel *selection) consider(edp *inventory.Endpoint) {
 	if reason := sel.ineligible(edp); reason != "" {
 		sel.rejected = append(sel.rejected, Rejection{edp.Name, reason})
@@ -145,7 +154,7 @@
 	}
 }
 
-// ineligible says why the endpoint may not serve the request whatever its load.
+// ineligible returns why the endpoint must not serve the request, whatever its load; "" if it may.
 func (sel *selection) ineligible(edp *inventory.Endpoint) string {
 	approved, known := sel.approvals[edp.Owner]
 	if !known {
@@ -187,14 +196,15 @@
 	return dec
 }
 
+// unusable returns why an endpoint cannot take new requests at present; "" if it can.
 func unusable(now time.Time, sta *EndpointStatus, model string) string {
 	if !sta.LeavingSince.IsZero() {
 		return "leaving since " + sta.LeavingSince.Format(time.RFC3339)
 	}
-	if !sta.FailedAt.IsZero() && now.Sub(sta.FailedAt) < failureMemory {
+	if !sta.FailedAt.IsZero() && now.Sub(sta.FailedAt) < failureBackoff {
 		return "failed at " + sta.FailedAt.Format(time.RFC3339)
 	}
-	if model != "" && sta.Load.Models != nil && now.Sub(sta.HeardAt) < modelMemory && !slices.Contains(sta.Load.Models, model) {
+	if model != "" && sta.Load.Models != nil && now.Sub(sta.HeardAt) < modelListLifetime && !slices.Contains(sta.Load.Models, model) {
 		return "model is not loaded"
 	}
 	return ""
--- a/routing/decide_test.go
+++ b/routing/decide_test.go
@@ -52,6 +52,8 @@
 	return inventory.NewIndex(cfg)
 }
 
+// apply gives an engine in the tracker the status that a case describes: this daemon's sends come after the engine's
+// report, or before it if Reported is true.
 func (set engineSetup) apply(trk *Tracker, name string) {
 	reportAt := testNow.Add(-time.Second)
 	sentAt := testNow.Add(-time.Second / 2)
@@ -69,7 +71,7 @@
 	})
 }
 
-// Guards against the failure that each case names.
+// Guards against the failures that the cases of testdata/decide.yaml describe.
 func TestDecide(t *testing.T) {
 	data, err := os.ReadFile("testdata/decide.yaml")
 	if err != nil {
@@ -86,7 +88,7 @@
 
 func (cas *decideCase) check(t *testing.T) {
 	trk := NewTracker()
-	// Every generation is taken to run on, so that only the case's own numbers count.
+	// The tracker itself then expects every generation to run on, so that only the numbers of the case matter.
 	for range minGrowthSample {
 		trk.Completed(1, 1<<30)
 	}
@@ -95,7 +97,7 @@
 		names = append(names, name)
 		set.apply(trk, name)
 	}
-	vew := View{Index: testIndex("llm", inventory.PoolKindEngine, names...), Statuses: shortGrowth{trk}}
+	vew := View{Index: testIndex("llm", inventory.PoolKindEngine, names...), Statuses: shortSurvival{trk}}
 	req := Request{
 		Team: inventory.TeamRef{Organisation: "org", Team: "team"}, Model: "writer", PrefixDigest: cas.Request.Prefix,
 		PromptTokens: cas.Request.Prompt, Reserve: cas.Request.Reserve, Margin: cas.Request.Margin, Waited: cas.Request.Waited, Urgent: cas.Request.Urgent,
@@ -119,16 +121,18 @@
 	}
 }
 
-// shortGrowth takes other daemons' generations to hold what they hold and end soon.
-type shortGrowth struct{ *Tracker }
+// shortSurvival is a tracker that expects the generations of other daemons to end before the first horizon, so that
+// only the memory that they hold now is counted.
+type shortSurvival struct{ *Tracker }
 
-func (shortGrowth) Survival() Survival {
+func (shortSurvival) Survival() Survival {
 	var sur Survival
 	sur.Running[0], sur.Held[0] = 1, 1
 	return sur
 }
 
-// Guards against an unapproved caller hearing that engines are full, and an approved one that it has no approval.
+// Guards against wrong codes: a team that no owner has approved must get notApproved, and an approved one must get
+// noEndpoint when the only engine is leaving or has just failed. None of them may be reported as full.
 func TestDecideRefusals(t *testing.T) {
 	idx := testIndex("llm", inventory.PoolKindEngine, "a")
 	rnd := rand.New(rand.NewPCG(1, 2))
@@ -141,7 +145,7 @@
 		{"org/team", "unknown", func(*Tracker) {}, CodeUnknownModel},
 		{"org/team", "writer", func(trk *Tracker) { trk.Leaving(testNow, "a") }, CodeNoEndpoint},
 		{"org/team", "writer", func(trk *Tracker) { trk.Failed(testNow, "a") }, CodeNoEndpoint},
-		{"org/team", "writer", func(trk *Tracker) { trk.Failed(testNow.Add(-failureMemory), "a") }, ""},
+		{"org/team", "writer", func(trk *Tracker) { trk.Failed(testNow.Add(-failureBackoff), "a") }, ""},
 	} {
 		trk := NewTracker()
 		cas.prepare(trk)
@@ -152,7 +156,7 @@
 	}
 }
 
-// Guards against generations that stay counted after their end, or are counted again by a second end.
+// Guards against generations that stay counted after their end, or are subtracted twice by a second call of End.
 func TestFlightAccounting(t *testing.T) {
 	trk := NewTracker()
 	flt := trk.Begin(testNow, "a", 100, 50)
@@ -180,9 +184,10 @@
 	}
 }
 
-// Guards against a generation that was lost before its first token, or ended before a late one, leaving an engine
-// closed to an organisation above its part, or open beyond the bound.
-func TestStartingIsSettled(t *testing.T) {
+// Guards against a wrong count of generations without a token, when a generation ends before its first token or a token
+// comes after the end. A count that is too high keeps an organisation that uses more than its share off the engine
+// forever; one that is too low lets it exceed maxStarting.
+func TestStartingCount(t *testing.T) {
 	trk := NewTracker()
 	lost, kept := trk.Begin(testNow, "a", 100, 50), trk.Begin(testNow, "a", 100, 50)
 	lost.End(testNow)
@@ -198,8 +203,8 @@
 	}
 }
 
-// Guards against daemons that send one prefix to different engines, and against prefixes that change their engine
-// because another engine comes or goes.
+// Guards against daemons that send one prefix to different engines, which happens when the removal of another engine
+// changes the home of the prefix, and against prefixes that are unevenly spread over the engines.
 func TestPrefixHome(t *testing.T) {
 	var engines []inventory.Endpoint
 	for i := range 31 {
--- a/routing/profile.go
+++ b/routing/profile.go
@@ -1,15 +1,17 @@
 package routing
 
-// Horizons is the number of points at which future memory is projected.
+// Horizons is the number of future points at which the use of memory is projected.
 const Horizons = 9
 
-// horizonTokens are the points, in tokens that each running generation decodes from now on.
+// horizonTokens holds the distance of each horizon, as the number of tokens that each running generation decodes until
+// then.
 var horizonTokens = [Horizons]int{0, 16, 32, 64, 128, 256, 512, 1024, 2048}
 
-// Profile is memory in tokens at each horizon.
+// Profile is an amount of memory, in tokens, at each horizon.
 type Profile [Horizons]int
 
-// GenerationProfile is the memory of a generation that holds some tokens and is to decode the remaining ones.
+// GenerationProfile returns the memory at each horizon of a generation that holds some tokens now and decodes the
+// remaining number of tokens before it ends.
 func GenerationProfile(held, remaining int) Profile {
 	var prf Profile
 	for i, hor := range horizonTokens {
--- a/routing/request.go
+++ b/routing/request.go
@@ -7,7 +7,7 @@
 	"papayacroft/inventory"
 )
 
-// Request is what a decision needs to know of a caller's request.
+// Request holds the properties of a caller's request that a decision depends on.
 type Request struct {
 	ID           string
 	Team         inventory.TeamRef
@@ -15,28 +15,29 @@
 	Pool         string
 	Class        string
 	PromptTokens int
-	// PrefixDigest identifies the prompt's prefix for engines' caches.
+	// PrefixDigest identifies the prompt's prefix, which an engine may have in its cache.
 	PrefixDigest string
-	// Reserve is the number of output tokens for which memory must be free; 0 skips the check.
+	// Reserve is the number of output tokens for which memory must be free; 0 skips the checks of memory and token
+	// interval.
 	Reserve int
-	// Level is the quantile by which the growth of other daemons' generations is reserved.
+	// Level is the quantile of the growth of other daemons' generations up to which memory is kept free for it.
 	Level float64
-	// Margin is the share of each engine's memory that the request leaves free for other organisations.
+	// Margin is the share of each engine's memory that the request must leave free for other organisations.
 	Margin float64
 	// Waited is how long the request has waited for an engine.
 	Waited time.Duration
 	// Urgent is true if the request is about to miss the target for its first token.
 	Urgent bool
-	// Excluded endpoints have failed this request already.
+	// Excluded holds the endpoints at which this request has already failed.
 	Excluded map[string]bool
 }
 
-// brief reports whether the request is expected to hold its memory for a short time only.
+// brief reports whether the request is expected to hold its memory only for a short time.
 func (req *Request) brief() bool {
 	return req.Reserve <= briefTokens
 }
 
-// Code says why a request is refused.
+// Code is the code of a refusal, for programs.
 type Code string
 
 // The codes of refusals.
@@ -64,7 +65,7 @@
 	CodeGenerationLost   Code = "generationLost"
 )
 
-// Rejection is a candidate that was not chosen.
+// Rejection is an endpoint that cannot serve the request at present, and why.
 type Rejection struct {
 	Endpoint string `json:"endpoint"`
 	Reason   string `json:"reason"`
@@ -76,6 +77,6 @@
 	Code       Code                `json:"code,omitempty"`
 	Reason     string              `json:"reason"`
 	Rejections []Rejection         `json:"rejections,omitempty"`
-	// Full is true if there are engines that will take the request once they have memory.
+	// Full is true if there are engines that would take the request but are full at present.
 	Full bool `json:"full,omitempty"`
 }
--- a/routing/score.go
+++ b/routing/score.go
@@ -13,40 +13,48 @@
 	TargetInterval = 28 * time.Millisecond
 	// TargetFirst is the time to the first token that callers are promised for 95 in 100 requests.
 	TargetFirst = 1400 * time.Millisecond
-	// maxInterval is the mean interval above which an engine takes no more work; the rest to TargetInterval covers prefills.
+	// maxInterval is the mean token interval above which an engine gets no new requests.
+	// The difference to TargetInterval is left for pauses by prefills.
 	maxInterval = 25 * time.Millisecond
-	// minRunning is the number of generations that even a slow engine may run, so that it goes on being observed.
+	// minRunning is the number of generations that even a slow engine may run, so that its interval is still measured.
 	minRunning = 4
 	// capacityMargin is the part of an engine's memory that is never reserved.
 	capacityMargin = 0.08
-	// freshMargin is what a request that has just come leaves free on top, for those that wait at other daemons;
-	// it shrinks to nothing over freshWait.
+	// freshMargin is the additional part that a request which has just arrived must leave free, for requests that are
+	// waiting at other daemons. It falls linearly to 0 over freshWait.
 	freshMargin = 0.06
 	freshWait   = 500 * time.Millisecond
-	// A brief request is expected to end within briefTokens, some 4 s, so it adds little to the memory that running
-	// generations grow into. It may fill an engine up to briefLimit times the part that is reserved, waited or not.
+	// A brief request is expected to decode at most briefTokens tokens, which takes about 4 s, so that it takes little
+	// of the memory into which running generations grow. It may fill an engine up to briefLimit times the memory that
+	// can be reserved, however long it has waited.
 	briefTokens = 200
 	briefLimit  = 1.04
-	// urgentLimit is the same for a request that is about to miss its target for the first token: a running generation
-	// is mostly ahead of its allowance of TargetInterval per token and makes up for a preemption, a waiting one can't.
+	// urgentLimit is the corresponding factor for a request that is about to miss its target for the first token. It may
+	// cause a preemption: a running generation is mostly ahead of its allowance of TargetInterval per token and can make
+	// up for a preemption, but a waiting request can't make up for a late first token.
 	urgentLimit = 1.06
-	// unseenFactor is how much the other daemons are taken to have sent for each token that this one sent since the
-	// report: they see the same free memory at the same time. Brief and urgent requests don't wait for it.
+	// unseenFactor estimates sends of other daemons that are not in an engine's report yet: for each prompt token that
+	// this daemon has sent since the report, the others are expected to have sent unseenFactor tokens, as they see the
+	// same free memory at the same time. The estimate is not applied to brief and urgent requests.
 	unseenFactor = 4
-	// maxStarting bounds the generations without a token that one daemon has at an engine when it sends another one of
-	// an organisation above its part: unbounded, prompts of a flood delayed the prompts of the others by 0.2 s.
+	// maxStarting is the number of generations without a first token at an engine from which a daemon sends no more
+	// requests there of an organisation that uses more than its share. Without this limit, the prompts of a flood
+	// delayed those of other organisations by 0.2 s.
 	maxStarting = 1
-	// intervalPenalty weighs the relative token interval against the relative use of memory.
+	// intervalPenalty is the weight of the token interval, as a part of TargetInterval, in the score; the projected use
+	// of memory has a weight of 1.
 	intervalPenalty = 0.5
-	// prefixBonus bounds how much fuller the home of the request's prefix may be than the others.
+	// prefixBonus is how much fuller the home of the request's prefix may be than other engines and still be chosen.
 	prefixBonus = 0.1
 )
 
-// score says how good an endpoint is for a request; lower values are better.
+// score rates an endpoint for a request; lower totals are better, then fewer requests in flight.
 type score struct {
-	total    float64
+	total float64
+	// use is the projected peak of the engine's memory as a part of what can be reserved.
 	use      float64
 	interval time.Duration
+	// home is true if the engine is the home of the request's prefix.
 	home     bool
 	inFlight int
 }
@@ -63,24 +71,25 @@
 		scr.total, compared, scr.use, scr.interval.Round(time.Millisecond/10), scr.home)
 }
 
-// scoreEngine rates an engine, or says why it can't take the request now.
+// scoreEngine returns the score of an engine, or why it can't take the request now.
 func (sel *selection) scoreEngine(edp *inventory.Endpoint, sta *EndpointStatus) (score, string) {
 	scr := score{interval: sta.currentInterval(sel.now), inFlight: sta.InFlight}
 	if sel.request.Margin > 0 && sta.OwnStarting >= maxStarting {
 		return scr, fmt.Sprintf("full: %d prompts are being computed", sta.OwnStarting)
 	}
-	off := sel.view.Without
+	disabled := sel.view.Without
 	if sta.Load.CapacityTokens > 0 {
 		capacity := float64(sta.Load.CapacityTokens) * (1 - sel.view.memoryMargin())
 		scr.use = float64(sel.projectedPeak(sta)) / capacity
-		// An idle engine takes any request: a reservation larger than every capacity would never be admitted.
+		// An idle engine takes any request. Otherwise a request whose reservation exceeds every engine's capacity
+		// would never be admitted.
 		idle := sta.OthersRunning+sta.OwnRunning == 0
-		if !off.Memory && !idle && sel.request.Reserve > 0 && scr.use > sel.limit() {
+		if !disabled.Memory && !idle && sel.request.Reserve > 0 && scr.use > sel.limit() {
 			return scr, fmt.Sprintf("full: projected memory is %.2f of its capacity", scr.use)
 		}
 	}
 	scr.total = scr.use
-	if !off.Interval {
+	if !disabled.Interval {
 		if sel.request.Reserve > 0 && scr.interval > maxInterval && sta.OthersRunning+sta.OwnRunning >= minRunning {
 			return scr, fmt.Sprintf("full: token interval is %s", scr.interval.Round(time.Millisecond))
 		}
@@ -100,7 +109,7 @@
 	return capacityMargin
 }
 
-// limit is the share of the capacity less its margin up to which the request may fill an engine.
+// limit returns how far the request may fill an engine, as a share of the engine's capacity less the memory margin.
 func (sel *selection) limit() float64 {
 	limit := 1 - freshMargin*max(0, 1-float64(sel.request.Waited)/float64(freshWait))
 	if sel.request.brief() {
@@ -112,8 +121,8 @@
 	return limit - sel.request.Margin
 }
 
-// projectedPeak is the most memory that an engine needs over all horizons with the request on it.
-// Generations of other daemons are taken to grow and end like this daemon's own.
+// projectedPeak returns the most memory that an engine is expected to need at any horizon if it takes the request.
+// Generations of other daemons are expected to grow and end like those that this daemon has seen complete.
 func (sel *selection) projectedPeak(sta *EndpointStatus) int {
 	prf := GenerationProfile(sel.request.PromptTokens, sel.request.Reserve)
 	running, tokens := sta.OthersRunning, sta.OthersTokens
@@ -128,14 +137,16 @@
 	for i, hor := range horizonTokens {
 		share := sel.survival.Running[i]
 		mean := float64(tokens)*sel.survival.Held[i] + float64(running)*share*float64(hor)
-		// Each generation runs on or not independently of the others.
+		// Each generation is taken to end independently of the others, so the number of those that remain
+		// is binomially distributed.
 		deviation := mean * math.Sqrt((1-share)/max(1, float64(running)*share))
 		prf[i] += int(mean + sel.deviations*deviation)
 	}
 	return prf.peak()
 }
 
-// currentInterval is the observed token interval, fading when no new observation comes.
+// currentInterval returns the observed token interval; it decays with intervalHalfLife if there has been no observation
+// for more than a second.
 func (sta *EndpointStatus) currentInterval(now time.Time) time.Duration {
 	age := now.Sub(sta.IntervalAt)
 	if sta.IntervalAt.IsZero() || age <= time.Second {
