--- a/admission/controller.go
+++ b/admission/controller.go
@@ -7,17 +7,20 @@
 	"papayacroft/routing"
 )
 
-// serviceWait bounds the wait for a plain service, since a refused call stalls its caller less than a late one.
+// serviceWait limits how long a call waits for a plain service: an early refusal delays the caller less than a late
+// answer.
 const serviceWait = time.Second
 
 const (
-	// largeShare is the part of the tokens served of late above which an organisation leaves memory to the others.
+	// largeShare is the share of the recently served tokens above which an organisation must leave memory free for the
+	// other organisations.
 	largeShare = 0.35
-	// maxShareMargin bounds the share of each engine that it leaves.
+	// maxShareMargin is the largest share of each engine's memory that such an organisation must leave free.
 	maxShareMargin = 0.25
 )
 
-// Ticket is a request that wants an endpoint.
+// Ticket is a request that waits for an endpoint, with the values on which its place in the queue and its reservation
+// depend.
 type Ticket struct {
 	Request   routing.Request
 	Rank      int
@@ -25,29 +28,32 @@
 	MaxTokens int
 	Deadline  time.Time
 
-	kind   Kind
-	item   *Item
+	kind Kind
+	item *Item
+	// charge is the number of tokens that the organisation was charged at the start, by estimate.
 	charge float64
 }
 
-// Outcome is what became of a ticket.
+// Outcome is the result of a ticket: a decision with an endpoint, or a refusal.
 type Outcome struct {
 	Ticket   *Ticket
 	Decision routing.Decision
-	// Flight is the accounting of a generation; it is nil for plain services and refusals.
+	// Flight is the tracker's record of the generation; it is nil for plain services and refusals.
 	Flight *routing.Flight
+	// Waited is how long the ticket was in the queue.
 	Waited time.Duration
 }
 
-// Controller queues requests until an endpoint can take them; its callers serialize the calls.
+// Controller queues requests until an endpoint can take them. Its callers serialize the calls, except for Progress.
 type Controller struct {
 	Tracker *routing.Tracker
 	Lengths *Lengths
 	Level   *Level
 	Queue   *Queue
-	// FixedLevel replaces the adaptive level for measurements.
+	// FixedLevel replaces the adaptive level if it is above 0, for measurements.
 	FixedLevel float64
 
+	// windows holds the window of each service pool.
 	windows map[string]*Window
 }
 
@@ -56,7 +62,8 @@
 	return &Controller{Tracker: trk, Lengths: &Lengths{}, Level: NewLevel(), Queue: NewQueue(), windows: map[string]*Window{}}
 }
 
-// Watch adapts the level to the preemptions in the tracker's reports, counting this daemon's part of each engine.
+// Watch makes the controller raise the level when the tracker's load reports show preemptions. As the engines are shared,
+// preemptions are counted in proportion to this daemon's part of the generations on the engine.
 func (ctl *Controller) Watch() {
 	trk := ctl.Tracker
 	trk.OnPreempted = func(name string, count int64) {
@@ -67,7 +74,8 @@
 	}
 }
 
-// Submit takes a ticket in and returns every outcome that follows, of this or of other tickets.
+// Submit adds a ticket to the queue and returns the outcomes of all tickets that are decided as a result: sent ones,
+// expired ones, and one that was dropped because the queue is full.
 func (ctl *Controller) Submit(now time.Time, rnd *rand.Rand, vew routing.View, tkt *Ticket) []Outcome {
 	resource := tkt.Request.Model
 	if resource == "" {
@@ -91,7 +99,8 @@
 	return append(outcomes, ctl.Dispatch(now, rnd, vew)...)
 }
 
-// Dispatch lets waiting tickets go as far as endpoints take them.
+// Dispatch refuses tickets whose deadline has passed, sends waiting tickets for which an endpoint can be found, and
+// returns their outcomes.
 func (ctl *Controller) Dispatch(now time.Time, rnd *rand.Rand, vew routing.View) []Outcome {
 	var outcomes []Outcome
 	for _, itm := range ctl.Queue.Expire(now) {
@@ -100,7 +109,7 @@
 	blocked := Blocked{}
 	for itm := ctl.Queue.Next(now, blocked); itm != nil; itm = ctl.Queue.Next(now, blocked) {
 		tkt := itm.Value.(*Ticket)
-		if !ctl.open(tkt) {
+		if !ctl.windowOpen(tkt) {
 			blocked.Add(itm.Resource, "")
 			continue
 		}
@@ -128,12 +137,13 @@
 	return outcomes
 }
 
-// Cancel takes a ticket out whose caller has left; it reports whether the ticket was waiting.
+// Cancel removes a ticket whose caller no longer waits, and reports whether the ticket was still in the queue.
 func (ctl *Controller) Cancel(tkt *Ticket) bool {
 	return tkt.item != nil && ctl.Queue.Remove(tkt.item)
 }
 
-func (ctl *Controller) open(tkt *Ticket) bool {
+// windowOpen reports whether the window of a service pool allows another call; requests to engines have no window.
+func (ctl *Controller) windowOpen(tkt *Ticket) bool {
 	return tkt.Request.Model != "" || ctl.window(tkt.Request.Pool).Open()
 }
 
@@ -146,6 +156,8 @@
 	return win
 }
 
+// begin counts a ticket as sent to an endpoint and charges its organisation: one unit for a call to a plain service, the
+// prompt and the reserved output for a generation.
 func (ctl *Controller) begin(now time.Time, tkt *Ticket, name string) *routing.Flight {
 	if tkt.Request.Model == "" {
 		ctl.window(tkt.Request.Pool).Sent()
@@ -157,17 +169,20 @@
 	return ctl.Tracker.Begin(now, name, tkt.Request.PromptTokens, tkt.Request.Reserve)
 }
 
-// Progress renews the reservation of a running generation; it needs no serialization.
+// Progress replaces the reservation of a running generation by a new estimate. It may be called concurrently with the
+// other methods.
 func (ctl *Controller) Progress(now time.Time, tkt *Ticket, flt *routing.Flight) {
 	flt.Progress(now, ctl.remaining(tkt, flt.Generated()))
 }
 
+// remaining estimates how many tokens a generation will still decode, at the current level.
 func (ctl *Controller) remaining(tkt *Ticket, generated int) int {
 	return ctl.Lengths.Remaining(tkt.kind, generated, tkt.MaxTokens, ctl.level())
 }
 
-// margin is the share of each engine that an organisation leaves to the others once it has more than its part;
-// it is no more than the part that the others had, so that an organisation alone has everything.
+// margin returns the share of each engine's memory that an organisation must leave free for the others, which is above 0
+// if it has more than largeShare of the recently served tokens. It never exceeds the share of the other organisations,
+// so that an organisation that is the only one may use all memory.
 func (ctl *Controller) margin(organisation string) float64 {
 	part := ctl.Queue.Share(organisation)
 	return max(0, min(maxShareMargin, part-largeShare, 1-part))
@@ -180,7 +195,8 @@
 	return ctl.Level.Value()
 }
 
-// Ended settles a generation; completed is false if it was lost or cancelled.
+// Ended releases the reservation of a generation and corrects its organisation's charge to the tokens that were served.
+// The estimates learn from it only if it completed, not if it was lost or cancelled.
 func (ctl *Controller) Ended(now time.Time, tkt *Ticket, flt *routing.Flight, completed bool) {
 	flt.End(now)
 	ctl.Queue.Served(now, tkt.Request.Team.Organisation, float64(tkt.Request.PromptTokens+flt.Generated())-tkt.charge)
@@ -191,12 +207,13 @@
 	}
 }
 
-// Answered settles a call to a plain service.
+// Answered counts the end of a call to a plain service and adapts the pool's window to the endpoint's load report.
 func (ctl *Controller) Answered(tkt *Ticket, name string) {
 	lod := ctl.Tracker.Status(name).Load
 	ctl.window(tkt.Request.Pool).Finished(lod.Waiting > lod.Running)
 }
 
+// refuse returns the outcome of an item that has left the queue without an endpoint.
 func refuse(now time.Time, itm *Item, code routing.Code, reason string) Outcome {
 	return Outcome{Ticket: itm.Value.(*Ticket), Decision: routing.Decision{Code: code, Reason: reason}, Waited: now.Sub(itm.enqueuedAt)}
 }
--- a/admission/controller_test.go
+++ b/admission/controller_test.go
@@ -11,6 +11,7 @@
 	"papayacroft/routing"
 )
 
+// controllerRig is a controller with one endpoint, a, in one pool.
 type controllerRig struct {
 	controller *Controller
 	tracker    *routing.Tracker
@@ -38,6 +39,7 @@
 	return rig.controller.Submit(now, rig.rnd, rig.view, &Ticket{Request: req, Worth: worth, MaxTokens: 1000, Deadline: now.Add(deadline)})
 }
 
+// describe formats outcomes as "request:endpoint " or "request:code ".
 func describe(outcomes []Outcome) string {
 	text := ""
 	for _, out := range outcomes {
@@ -54,7 +56,8 @@
 	rig.tracker.Report(now, "a", endpoint.Load{At: now, UsedTokens: used, CapacityTokens: 1000, Running: used / 100, Preemptions: preemptions})
 }
 
-// Guards against a request that stays queued when an engine has memory again, or is sent while it has none.
+// Guards against a request that is sent to an engine without free memory, or stays queued after the engine has reported
+// free memory.
 func TestControllerWaitsForMemory(t *testing.T) {
 	rig := newControllerRig(inventory.PoolKindEngine)
 	rig.report(testStart, 900, 0)
@@ -75,8 +78,9 @@
 	}
 }
 
-// Guards against two requests admitted into the memory of one before the next report.
-func TestControllerCountsWhatItSends(t *testing.T) {
+// Guards against requests that are admitted into memory already reserved for others, as the engine's next report is yet
+// to come.
+func TestControllerReservesSentRequests(t *testing.T) {
 	rig := newControllerRig(inventory.PoolKindEngine)
 	rig.report(testStart, 100, 0)
 	sent := 0
@@ -88,7 +92,7 @@
 	}
 }
 
-// Guards against refusals without the code that tells the caller why, and against a full queue that grows.
+// Guards against refusals with a wrong code, and against a full queue that grows.
 func TestControllerRefusals(t *testing.T) {
 	rig := newControllerRig(inventory.PoolKindEngine)
 	rig.controller.Queue.Capacity = 1
@@ -105,7 +109,7 @@
 	}
 }
 
-// Guards against calls to plain services that wait past the bound after which a refusal is better.
+// Guards against calls to plain services that wait for longer than serviceWait.
 func TestControllerServiceWait(t *testing.T) {
 	rig := newControllerRig(inventory.PoolKindService)
 	for i := range startWindow {
@@ -119,7 +123,8 @@
 	}
 }
 
-// Guards against a level that ignores preemptions in reports or takes all of a shared engine's as this daemon's.
+// Guards against a level that ignores preemptions in load reports, or that counts all preemptions of a shared engine as
+// this daemon's.
 func TestControllerLearnsFromPreemptions(t *testing.T) {
 	rig := newControllerRig(inventory.PoolKindEngine)
 	rig.report(testStart, 100, 5)
@@ -130,7 +135,8 @@
 	}
 }
 
-// Guards against an organisation that is alone leaving memory to nobody, and one with most of the work leaving none.
+// Guards against a margin for an organisation that is the only one, which would leave memory unused, and against none
+// for an organisation with most of the served tokens.
 func TestControllerMargin(t *testing.T) {
 	rig := newControllerRig(inventory.PoolKindEngine)
 	que := rig.controller.Queue
--- a/admission/lengths.go
+++ b/admission/lengths.go
@@ -1,5 +1,5 @@
-// Package admission decides when a request may go to an endpoint: it estimates output lengths,
-// reserves memory for them and queues what does not fit.
+// Package admission decides when a request may be sent to an endpoint: it estimates output lengths, reserves memory for
+// them and queues requests that don't fit.
 package admission
 
 import (
@@ -12,17 +12,17 @@
 
 const (
 	maxLength     = 1 << 20
-	lengthDigits  = 2
-	lengthHalving = 1024 // completions after which old lengths lose half their weight
+	lengthDigits  = 2    // significant decimal digits of the histogram
+	lengthHalving = 1024 // completions after which the weight of all earlier ones is halved
 	// snapshotEvery is the number of completions between two rebuilds of the table that readers use.
 	snapshotEvery = 16
 	// minLengths is the number of completions below which defaultLength is assumed.
 	minLengths = 8
-	// defaultLength is reserved for a class and model without history.
+	// defaultLength is the number of output tokens reserved for a class and model with too few completions.
 	defaultLength = 256
 )
 
-// Kind is what output lengths are learnt for.
+// Kind is a class and model whose output lengths share one history.
 type Kind struct {
 	Class string
 	Model string
@@ -33,27 +33,27 @@
 	kinds sync.Map
 }
 
-// lengths is the history of one kind.
-type lengths struct {
+// lengthHistory holds the output lengths of one kind; readers use only the table, without a lock.
+type lengthHistory struct {
 	mutex     sync.Mutex
 	histogram *hdrhistogram.Histogram
 	recorded  int
 	table     atomic.Pointer[lengthTable]
 }
 
-// lengthTable has the distinct lengths in ascending order with the number of requests up to each.
+// lengthTable holds the distinct lengths in ascending order and, for each, the number of requests that were not longer.
 type lengthTable struct {
 	values     []int
 	cumulative []int64
 }
 
-// Observe learns the output length of a completed request.
+// Observe adds the output length of a completed request to the history of its kind.
 func (lng *Lengths) Observe(knd Kind, tokens int) {
 	value, ok := lng.kinds.Load(knd)
 	if !ok {
-		value, _ = lng.kinds.LoadOrStore(knd, &lengths{histogram: newHistogram()})
+		value, _ = lng.kinds.LoadOrStore(knd, &lengthHistory{histogram: newHistogram()})
 	}
-	one := value.(*lengths)
+	one := value.(*lengthHistory)
 	one.mutex.Lock()
 	defer one.mutex.Unlock()
 	_ = one.histogram.RecordValue(int64(min(max(tokens, 1), maxLength)))
@@ -66,25 +66,29 @@
 	}
 }
 
-// Remaining returns the quantile of the tokens still to come, given those generated already.
+// Remaining returns the given quantile of the number of tokens that a request will still generate, estimated from the
+// requests of its kind that were longer than the generated tokens. The result never exceeds maxTokens-generated, except
+// that it is at least 1.
 func (lng *Lengths) Remaining(knd Kind, generated, maxTokens int, quantile float64) int {
 	limit := max(1, maxTokens-generated)
 	value, ok := lng.kinds.Load(knd)
 	if !ok {
 		return min(limit, defaultLength)
 	}
-	tbl := value.(*lengths).table.Load()
+	tbl := value.(*lengthHistory).table.Load()
 	if tbl == nil {
 		return min(limit, defaultLength)
 	}
 	return min(limit, tbl.remaining(generated, quantile))
 }
 
+// remaining returns the quantile of the remaining tokens among the lengths above generated.
 func (tbl *lengthTable) remaining(generated int, quantile float64) int {
 	last := len(tbl.values) - 1
 	first := sort.SearchInts(tbl.values, generated+1)
 	if first > last {
-		// Longer than all that is known: heavy-tailed lengths last about as long again.
+		// The request is longer than all completed ones. Lengths are heavy-tailed, so a long request is expected to
+		// go on for a time in proportion to its length.
 		return max(1, generated/2)
 	}
 	var before int64
@@ -96,8 +100,8 @@
 	return max(1, tbl.values[pos]-generated)
 }
 
-// halve takes half the weight from the lengths seen so far.
-func (one *lengths) halve() {
+// halve halves the weight of all lengths in the histogram.
+func (one *lengthHistory) halve() {
 	fresh := newHistogram()
 	for _, bar := range one.histogram.Distribution() {
 		if bar.Count > 0 {
@@ -107,6 +111,7 @@
 	one.histogram = fresh
 }
 
+// tableOf returns the table of a histogram.
 func tableOf(his *hdrhistogram.Histogram) *lengthTable {
 	tbl := &lengthTable{}
 	var sum int64
--- a/admission/queue.go
+++ b/admission/queue.go
@@ -7,16 +7,17 @@
 )
 
 const (
-	// DefaultCapacity bounds the requests that wait in one daemon for engines or for one service pool.
+	// DefaultCapacity is the default of the largest number of requests that wait in one queue.
 	DefaultCapacity = 256
-	// DefaultAgeing is the wait after which a request counts as one rank higher.
+	// DefaultAgeing is the default wait after which a request counts as one rank higher.
 	DefaultAgeing = 20 * time.Second
-	// servedHalfLife is how fast the tokens that an organisation was served are forgotten,
-	// which bounds both the credit of an idle organisation and the debt of a greedy one.
+	// servedHalfLife is the half-life of the counts of tokens served to each organisation. It limits the advantage of an
+	// organisation that was idle and the disadvantage of one that used much.
 	servedHalfLife = 10 * time.Second
 	// servedStep is the time between two decays of the counts.
 	servedStep = time.Second
-	// urgentTime is the part of an item's target in which it goes first, long enough for a report of every engine to come.
+	// urgentTime is the time before an item's target in which the item goes first. It is long enough to receive a load
+	// report of every engine.
 	urgentTime = 500 * time.Millisecond
 )
 
@@ -25,22 +26,24 @@
 	ID           string
 	Organisation string
 	Class        string
-	// Resource names what the request waits for: a model or a service pool.
+	// Resource is the name of the model or of the service pool that the request waits for.
 	Resource string
-	Rank     int
-	Worth    float64
-	// Deadline is when the request is refused if it still waits.
+	// Rank is the rank of the request's class; items of a higher rank go first.
+	Rank int
+	// Worth decides which item is dropped from a full queue: the one of the least worth.
+	Worth float64
+	// Deadline is when the request is refused if it is still waiting.
 	Deadline time.Time
-	// Target is the wait that the item should not exceed; 0 stands for none.
+	// Target is how long the item should wait at most; 0 means that it has no target.
 	Target time.Duration
-	// Value is what the caller needs when the item leaves the queue.
+	// Value is data of the caller; the queue doesn't use it.
 	Value any
 
 	enqueuedAt time.Time
 	sequence   int64
 }
 
-// bucket holds items that differ only in age, the oldest first.
+// bucket holds the items of one organisation, class and resource, the oldest first.
 type bucket struct {
 	organisation string
 	class        string
@@ -52,21 +55,24 @@
 	organisation, class, resource string
 }
 
-// Queue orders waiting requests by rank, then by what their organisations were served, then by age.
+// Queue orders waiting requests by rank, then by the tokens served to their organisations, the fewest first, then by age.
 type Queue struct {
+	// Capacity is the largest number of waiting requests.
 	Capacity int
-	// Ageing is the wait that raises a request by one rank; 0 never raises.
+	// Ageing is the wait that raises a request by one rank; 0 disables ageing.
 	Ageing time.Duration
-	// Unfair switches fairness over organisations off for measurements.
+	// Unfair disables fairness between organisations, for measurements.
 	Unfair bool
 
-	buckets   map[bucketKey]*bucket
-	served    map[string]float64
+	buckets map[bucketKey]*bucket
+	// served holds the decaying count of tokens served to each organisation.
+	served map[string]float64
+	// queued holds the number of waiting requests of each organisation.
 	queued    map[string]int
 	length    int
 	sequence  int64
 	decayedAt time.Time
-	// nextDeadline is not later than the earliest deadline of a waiting item.
+	// nextDeadline is a lower bound of the deadlines of the waiting items.
 	nextDeadline time.Time
 }
 
@@ -83,7 +89,8 @@
 	return que.length
 }
 
-// Push adds an item and returns the one dropped to make room, which may be the same.
+// Push adds an item. If the queue is then too long, it drops the item of the least worth, which may be the new one, and
+// returns it.
 func (que *Queue) Push(now time.Time, itm *Item) *Item {
 	que.sequence++
 	itm.enqueuedAt, itm.sequence = now, que.sequence
@@ -107,14 +114,14 @@
 	return victim
 }
 
-// Blocked holds the resources that nothing fits on and those that nothing of one organisation fits on.
+// Blocked is a set of resources that take no more requests at present, either of any organisation or of one.
 type Blocked map[blockedKey]bool
 
 type blockedKey struct {
 	resource, organisation string
 }
 
-// Add blocks a resource for one organisation, or for all if the name is empty.
+// Add blocks a resource for one organisation, or for all if the organisation is empty.
 func (blk Blocked) Add(resource, organisation string) {
 	blk[blockedKey{resource, organisation}] = true
 }
@@ -123,7 +130,7 @@
 	return blk[blockedKey{bkt.resource, ""}] || blk[blockedKey{bkt.resource, bkt.organisation}]
 }
 
-// Next returns the item whose turn it is among those that are not blocked.
+// Next returns the first item in the order of the queue that is not blocked, or nil; it doesn't remove the item.
 func (que *Queue) Next(now time.Time, blocked Blocked) *Item {
 	top, served := 0, 0.0
 	for _, bkt := range que.buckets {
@@ -149,6 +156,7 @@
 	return best
 }
 
+// before reports whether one item goes before another of the same rank.
 func (que *Queue) before(one, two *Item) bool {
 	if !que.Unfair && que.served[one.Organisation] != que.served[two.Organisation] {
 		return que.served[one.Organisation] < que.served[two.Organisation]
@@ -156,8 +164,9 @@
 	return one.sequence < two.sequence
 }
 
-// agedRank raises a rank by the wait, at most to the highest waiting rank. An organisation that was served more than
-// the mean of those waiting is not raised, since its aged backlog would pass the fresh requests of the others.
+// agedRank returns the rank of an item, raised by its wait to at most the highest waiting rank. Items of an organisation
+// that was served more than the mean of the waiting organisations are not raised by ageing. Otherwise its old backlog
+// would go before the new requests of the others.
 func (que *Queue) agedRank(now time.Time, top int, mean float64, itm *Item) int {
 	if que.Urgent(now, itm) {
 		return max(top, itm.Rank)
@@ -168,14 +177,15 @@
 	return min(max(top, itm.Rank), itm.Rank+int(now.Sub(itm.enqueuedAt)/que.Ageing))
 }
 
-// Urgent reports whether an item is about to miss its target. One that has missed it gains less from going first,
-// and an organisation above its part waits so that its backlog doesn't pass the others.
+// Urgent reports whether an item is about to miss its target. An item that has already missed it is not urgent, as it
+// gains less from going first. Nor are items of an organisation with more than largeShare of the served tokens, so that
+// its backlog doesn't go before the requests of the others.
 func (que *Queue) Urgent(now time.Time, itm *Item) bool {
 	wait := now.Sub(itm.enqueuedAt)
 	return wait < itm.Target && wait >= itm.Target-urgentTime && que.Share(itm.Organisation) <= largeShare
 }
 
-// Share returns an organisation's part of the tokens served of late.
+// Share returns an organisation's share of the recently served tokens; it is 0 if Unfair is set.
 func (que *Queue) Share(organisation string) float64 {
 	total := 0.0
 	for _, count := range que.served {
@@ -187,7 +197,8 @@
 	return que.served[organisation] / total
 }
 
-// leastWorth finds the item to drop: of the least worth, then of the organisation with most waiting, then the newest.
+// leastWorth returns the item to drop from a full queue: the one of the least worth; among equals, of the organisation
+// with the most waiting requests; then the newest.
 func (que *Queue) leastWorth() *Item {
 	var worst *Item
 	for _, bkt := range que.buckets {
@@ -199,6 +210,7 @@
 	return worst
 }
 
+// worse reports whether one item is dropped before another.
 func (que *Queue) worse(one, two *Item) bool {
 	if one.Worth != two.Worth {
 		return one.Worth < two.Worth
@@ -209,7 +221,7 @@
 	return one.sequence > two.sequence
 }
 
-// Remove takes an item out; it reports whether the item was waiting.
+// Remove removes an item and reports whether it was waiting.
 func (que *Queue) Remove(itm *Item) bool {
 	key := bucketKey{itm.Organisation, itm.Class, itm.Resource}
 	bkt, ok := que.buckets[key]
@@ -254,13 +266,13 @@
 	return expired
 }
 
-// Served counts tokens that an organisation was given; a negative number takes an estimate back.
+// Served adds to the tokens served to an organisation; a negative number corrects an estimate that was too high.
 func (que *Queue) Served(now time.Time, organisation string, tokens float64) {
 	que.decay(now)
 	que.served[organisation] += tokens
 }
 
-// decay forgets old tokens.
+// decay reduces the counts of served tokens by the time since the last decay, at most once per servedStep.
 func (que *Queue) decay(now time.Time) {
 	if que.decayedAt.IsZero() {
 		que.decayedAt = now
--- a/admission/queue_test.go
+++ b/admission/queue_test.go
@@ -31,7 +31,7 @@
 	Steps        []queueStep
 }
 
-// Guards against the failure that each case names.
+// Guards against the failures that the cases of testdata/queue.yaml describe.
 func TestQueue(t *testing.T) {
 	data, err := os.ReadFile("testdata/queue.yaml")
 	if err != nil {
@@ -57,6 +57,7 @@
 	}
 }
 
+// run applies one step to the queue and returns its result and the wanted one.
 func (stp *queueStep) run(que *Queue, blocked Blocked) (got, want string) {
 	now := testStart.Add(time.Duration(stp.At * float64(time.Second)))
 	switch {
@@ -98,7 +99,8 @@
 	return 0
 }
 
-// Guards against estimates that ignore what was generated, old lengths that never fade, and reservations above maxTokens.
+// Guards against estimates that ignore the tokens generated so far, old lengths that keep their weight forever, and
+// reservations above maxTokens.
 func TestLengths(t *testing.T) {
 	var lng Lengths
 	knd := Kind{"writeUp", "writer"}
@@ -128,7 +130,7 @@
 	}
 }
 
-// Guards against a level that preemptions don't raise, or that never comes down again.
+// Guards against a level that preemptions don't raise, that completions don't lower, or that exceeds its upper bound.
 func TestLevel(t *testing.T) {
 	lvl := NewLevel()
 	lvl.Preempted(3)
@@ -148,7 +150,7 @@
 	}
 }
 
-// Guards against a window that queues calls at the endpoint, or that stays shut when the queue is gone.
+// Guards against a window that doesn't shrink while calls queue at the endpoint, or doesn't grow again when none queue.
 func TestWindow(t *testing.T) {
 	win := NewWindow()
 	fill := func() int {
@@ -186,7 +188,7 @@
 	}
 }
 
-// Guards against outcomes that depend on the order of a map.
+// Guards against an order of requests that depends on the iteration order of a map.
 func TestQueueDeterministic(t *testing.T) {
 	var first []string
 	for range 20 {
