--- a/retry/budget.go
+++ b/retry/budget.go
@@ -1,4 +1,5 @@
-// Package retry bounds repeated work: budgets, pauses and the quarantine of requests that crash endpoints.
+// Package retry limits repeated work: it has retry budgets, back-off pauses and the quarantine of requests that crash
+// endpoints.
 package retry
 
 import (
@@ -11,30 +12,33 @@
 )
 
 const (
-	// RequestShare is the number of retries that each request earns.
+	// RequestShare is the number of retries that each request adds to an account.
 	RequestShare = 0.1
-	// PerSecond is the number of retries that each second earns.
+	// PerSecond is the number of retries that are added to an account per second.
 	PerSecond = 1.0
-	// Burst bounds the retries saved up.
+	// Burst is the largest number of retries that an account can hold.
 	Burst = 10.0
 
 	minPause = 50 * time.Millisecond
 	maxPause = time.Second
-	// maxAccounts is the number of accounts above which full ones are dropped; a new account starts full.
+	// maxAccounts is the number of accounts from which full ones are removed before another one is added. Nothing is
+	// lost with a full account, as a new account starts full.
 	maxAccounts = 4096
 )
 
-// Key names the account of a team's retries in a pool.
+// Key identifies the account of a team's retries in a pool.
 type Key struct {
 	Team inventory.TeamRef
 	Pool string
 }
 
+// account is a token bucket of retries.
 type account struct {
 	tokens float64
 	at     time.Time
 }
 
+// refill adds the retries for the time since the last call.
 func (acc *account) refill(now time.Time) {
 	if elapsed := now.Sub(acc.at); elapsed > 0 {
 		acc.tokens = min(Burst, acc.tokens+PerSecond*elapsed.Seconds())
@@ -42,7 +46,7 @@
 	}
 }
 
-// Budgets holds one account for each team and pool.
+// Budgets holds one account for each team and pool. It is safe for concurrent use.
 type Budgets struct {
 	mutex    sync.Mutex
 	accounts map[Key]*account
@@ -53,7 +57,7 @@
 	return &Budgets{accounts: map[Key]*account{}}
 }
 
-// Request earns an account its share of a retry.
+// Request adds the retries that a request earns to an account.
 func (bud *Budgets) Request(now time.Time, key Key) {
 	bud.mutex.Lock()
 	defer bud.mutex.Unlock()
@@ -61,7 +65,7 @@
 	acc.tokens = min(Burst, acc.tokens+RequestShare)
 }
 
-// Spend takes one retry from an account and reports whether there was one.
+// Spend takes one retry from an account, or returns false if the account holds less than one.
 func (bud *Budgets) Spend(now time.Time, key Key) bool {
 	bud.mutex.Lock()
 	defer bud.mutex.Unlock()
@@ -73,6 +77,7 @@
 	return true
 }
 
+// account returns a refilled account, and creates it if there is none.
 func (bud *Budgets) account(now time.Time, key Key) *account {
 	acc, ok := bud.accounts[key]
 	if !ok {
@@ -84,6 +89,7 @@
 	return acc
 }
 
+// prune removes full accounts if there are maxAccounts or more.
 func (bud *Budgets) prune(now time.Time) {
 	if len(bud.accounts) < maxAccounts {
 		return
@@ -96,10 +102,10 @@
 	}
 }
 
-// NewPauses returns pauses with full jitter whose upper bound grows from 50 ms to 1 s.
+// NewPauses returns an exponential back-off with full jitter. The upper bound of its pauses grows from 50 ms to 1 s.
 func NewPauses() backoff.BackOff {
 	pauses := backoff.NewExponentialBackOff()
-	// A factor of 1 draws from 0 to twice the interval.
+	// With a factor of 1, pauses are drawn from 0 to twice the interval; the intervals are therefore halved.
 	pauses.RandomizationFactor = 1
 	pauses.InitialInterval, pauses.MaxInterval = minPause/2, maxPause/2
 	return pauses
--- a/retry/budget_test.go
+++ b/retry/budget_test.go
@@ -7,7 +7,7 @@
 	"papayacroft/inventory"
 )
 
-// Guards against retries that multiply the load of a pool that is down.
+// Guards against retries that multiply the load on a pool that is down.
 func TestBudgetsBoundRetries(t *testing.T) {
 	now := time.Unix(1_700_000_000, 0)
 	bud, key := NewBudgets(), Key{Team: inventory.ParseTeamRef("rimu/members"), Pool: "llm"}
@@ -32,7 +32,7 @@
 	}
 }
 
-// Guards against pauses that are synchronised or outgrow the bound.
+// Guards against pauses that exceed their upper bound.
 func TestPausesStayInBounds(t *testing.T) {
 	pauses := NewPauses()
 	for i := range 50 {
--- a/retry/quarantine.go
+++ b/retry/quarantine.go
@@ -6,78 +6,94 @@
 )
 
 const (
-	// QuarantineTime is how long a condemned request is refused and a suspect stays one.
+	// QuarantineTime is how long a condemned request is refused, and how long a request is a suspect after a crash.
 	QuarantineTime = time.Hour
-	// remoteRunTime bounds how long another daemon's suspect is taken to occupy an endpoint.
+	// remoteRunTime is how long a suspect that another daemon has reported as running counts as running there, unless a
+	// later report ends the run.
 	remoteRunTime = 10 * time.Minute
-	// ClosedTime bounds how long a suspect keeps an endpoint to itself, since its daemon may die meanwhile.
-	// A crash that comes later proves nothing.
+	// ClosedTime is how long a suspect's endpoint is closed to other requests at most, since the suspect's daemon may
+	// crash without reopening it. A crash of the endpoint after this time does not condemn the suspect.
 	ClosedTime = 2 * time.Minute
-	// maxDigests bounds what other daemons can make this one remember.
+	// maxDigests is the number of suspects and condemned requests from which reports of other daemons are ignored, so
+	// that they cannot fill this daemon's memory.
 	maxDigests = 10_000
-	// maxReportBytes bounds the names in a report.
+	// maxReportBytes is the largest length of the digest and of the endpoint's name in a report.
 	maxReportBytes = 128
 )
 
-// Verdict is what a report says of a request.
+// Verdict is the state of a request in a report.
 type Verdict string
 
 // The verdicts.
 const (
+	// VerdictSuspect says that a request may have crashed an endpoint and is not running.
 	VerdictSuspect Verdict = "suspect"
-	// VerdictRunning asks the receiver to start nothing else on the endpoint, where a suspect is about to run.
+	// VerdictRunning says that a suspect is about to run on the endpoint; the receiver must start no other request there.
 	VerdictRunning Verdict = "running"
-	// VerdictShared says that a suspect runs beside other requests, so that others may start there as well.
-	VerdictShared    Verdict = "shared"
-	VerdictCleared   Verdict = "cleared"
+	// VerdictShared says that a suspect runs beside other requests, so that more requests may start there.
+	VerdictShared Verdict = "shared"
+	// VerdictCleared says that a request has completed and is no longer a suspect.
+	VerdictCleared Verdict = "cleared"
+	// VerdictCondemned says that a request has crashed an endpoint on which it ran alone, and must be refused.
 	VerdictCondemned Verdict = "condemned"
 )
 
-// Report tells another daemon about a suspect.
+// Report is a message to the other daemons about a request that is or was a suspect.
 type Report struct {
+	// Digest identifies the request by its content.
 	Digest   string  `json:"digest"`
 	Endpoint string  `json:"endpoint"`
 	Verdict  Verdict `json:"verdict"`
-	// Crashes is the number of crashes that the suspect was in.
+	// Crashes is the number of crashes of endpoints on which the suspect was running.
 	Crashes int `json:"crashes,omitempty"`
 }
 
+// suspicion is the state of a suspect.
 type suspicion struct {
-	until   time.Time
+	until time.Time
+	// crashes is the number of crashes of endpoints on which the suspect was running.
 	crashes int
 }
 
+// run is a request that this daemon runs on an endpoint.
 type run struct {
 	digest   string
 	endpoint string
 	began    time.Time
 	// closedUntil is when other requests may start on the endpoint again.
 	closedUntil time.Time
-	// alone is true if nothing else ran on the endpoint when the run started, and nothing was started while it is closed.
+	// alone is true if no other request ran on the endpoint when the run started, and none was started while the
+	// endpoint was closed.
 	alone bool
 }
 
-// wasAlone reports whether the run had its endpoint to itself at a time.
+// wasAlone reports whether no other request ran on the endpoint of the run at a time.
 func (one run) wasAlone(at time.Time) bool {
 	return one.alone && at.Before(one.closedUntil)
 }
 
+// remoteRun is a suspect that another daemon has reported as running.
 type remoteRun struct {
-	endpoint    string
+	endpoint string
+	// until is when the run expires; closedUntil is when other requests may start on the endpoint again.
 	until       time.Time
 	closedUntil time.Time
 }
 
 // Quarantine finds requests that crash endpoints; it is not safe for concurrent use.
-// Every request that ran on a crashed endpoint is a suspect. Suspects are kept apart.
-// A suspect gets an idle endpoint to itself where there is one, and is condemned if it crashes that endpoint.
-// A crash of an endpoint that a suspect shares proves nothing, since a request beside it may be the cause;
-// after its second crash a suspect therefore waits for an endpoint of its own.
+//
+// Every request that was running on an endpoint when it crashed becomes a suspect. Two suspects are not started on the
+// same endpoint. If possible, a suspect runs alone on an idle endpoint; if it crashes that endpoint, it is condemned: it is
+// refused for QuarantineTime. A crash of an endpoint that a suspect shares with other requests doesn't condemn it, since
+// one of them may be the cause. From its second crash on, a suspect therefore waits for an endpoint on which it can run
+// alone.
 type Quarantine struct {
+	// suspects and condemned are keyed by digest; condemned holds the time until which a request is refused.
 	suspects  map[string]suspicion
 	condemned map[string]time.Time
-	runs      map[string]run
-	// remote holds other daemons' running suspects by digest.
+	// runs holds the runs of this daemon by their id.
+	runs map[string]run
+	// remote holds the running suspects of other daemons by digest.
 	remote map[string]remoteRun
 }
 
@@ -89,23 +105,23 @@
 	}
 }
 
-// Condemned returns the time until which a request is refused.
+// Condemned reports whether a request is refused, and returns the time until which it is.
 func (qua *Quarantine) Condemned(now time.Time, digest string) (time.Time, bool) {
 	until, ok := qua.condemned[digest]
 	return until, ok && now.Before(until)
 }
 
-// Suspect reports whether a request must run apart from other suspects.
+// Suspect reports whether a request is a suspect, which must not run on the same endpoint as another suspect.
 func (qua *Quarantine) Suspect(now time.Time, digest string) bool {
 	return now.Before(qua.suspects[digest].until)
 }
 
-// suspect notes that a request was in so many crashes.
+// suspect makes a request a suspect with at least the given number of crashes, and renews its expiry.
 func (qua *Quarantine) suspect(now time.Time, digest string, crashes int) {
 	qua.suspects[digest] = suspicion{now.Add(QuarantineTime), max(1, crashes, qua.suspects[digest].crashes)}
 }
 
-// Occupied lists the endpoints that hold another suspect than the given one.
+// Occupied returns the endpoints on which another suspect than the given one is running, at this daemon or another.
 func (qua *Quarantine) Occupied(now time.Time, digest string) []string {
 	var endpoints []string
 	for _, one := range qua.runs {
@@ -122,8 +138,9 @@
 	return slices.Compact(endpoints)
 }
 
-// Begin notes a run before it is sent. It refuses to put a second suspect on an endpoint, or anything on one that a
-// suspect has to itself. A suspect's endpoint is closed until its trial is settled.
+// Begin records a run before it is sent to its endpoint. It returns false, and records nothing, if the endpoint is closed
+// for another suspect, or if the request is a suspect and another one is running there. If the request is a suspect, its
+// endpoint is closed to other requests until its trial is settled.
 func (qua *Quarantine) Begin(now time.Time, id, digest, endpoint string) bool {
 	if qua.closedFor(now, digest, endpoint) {
 		return false
@@ -139,7 +156,7 @@
 	return true
 }
 
-// Attach notes a run that has been started before, by this daemon or another one.
+// Attach records a run that was already started, by this daemon or another one, and returns the reports to send.
 func (qua *Quarantine) Attach(now time.Time, id, digest, endpoint string) []Report {
 	qua.runs[id] = run{digest: digest, endpoint: endpoint, began: now}
 	if !qua.Suspect(now, digest) {
@@ -148,7 +165,8 @@
 	return []Report{qua.report(digest, endpoint, VerdictShared)}
 }
 
-// Leave forgets a run that ended without an answer and without a crash.
+// Leave removes a run that ended without an answer and without a crash, and returns the reports to send. A suspect stays
+// a suspect.
 func (qua *Quarantine) Leave(now time.Time, id string) []Report {
 	one, ok := qua.runs[id]
 	delete(qua.runs, id)
@@ -158,11 +176,13 @@
 	return []Report{qua.report(one.digest, one.endpoint, VerdictSuspect)}
 }
 
+// report returns a report about a suspect with its number of crashes.
 func (qua *Quarantine) report(digest, endpoint string, verdict Verdict) Report {
 	return Report{digest, endpoint, verdict, qua.suspects[digest].crashes}
 }
 
-// Complete clears the request of a run that ended with its answer.
+// Complete removes a run that ended with its answer, and returns the reports to send. If the request was a suspect, it
+// no longer is.
 func (qua *Quarantine) Complete(now time.Time, id string) []Report {
 	one, ok := qua.runs[id]
 	delete(qua.runs, id)
@@ -173,27 +193,29 @@
 	return []Report{{Digest: one.digest, Endpoint: one.endpoint, Verdict: VerdictCleared}}
 }
 
-// Crash judges the runs on the endpoint of a run whose connection broke at the given time.
-// A run that an earlier call has judged is left out, since each run notices the same crash.
+// Crash records that an endpoint crashed and broke the connection of a run at the given time, and returns the reports to
+// send. It condemns the request of that run if it was a suspect and ran alone, also without a suspect of another daemon;
+// otherwise it makes every request that was running on the endpoint a suspect. All these runs are removed, so that later calls for the same crash, one for each
+// broken connection, have no effect.
 func (qua *Quarantine) Crash(now time.Time, id string, brokenAt time.Time) []Report {
-	seen, ok := qua.runs[id]
+	crashed, ok := qua.runs[id]
 	if !ok {
 		return nil
 	}
 	qua.prune(now)
-	// The value says whether the request had the endpoint to itself.
-	ran := map[string]bool{seen.digest: seen.wasAlone(brokenAt)}
+	// ran holds the digests of the runs on the endpoint, with true for a run that was alone there.
+	ran := map[string]bool{crashed.digest: crashed.wasAlone(brokenAt)}
 	for other, one := range qua.runs {
-		if one.endpoint == seen.endpoint && !one.began.After(brokenAt) {
+		if one.endpoint == crashed.endpoint && !one.began.After(brokenAt) {
 			ran[one.digest] = one.wasAlone(brokenAt)
 			delete(qua.runs, other)
 		}
 	}
 	delete(qua.runs, id)
-	if len(ran) == 1 && ran[seen.digest] && qua.Suspect(now, seen.digest) && !qua.remoteSuspect(now, seen) {
-		delete(qua.suspects, seen.digest)
-		qua.condemned[seen.digest] = now.Add(QuarantineTime)
-		return []Report{{Digest: seen.digest, Endpoint: seen.endpoint, Verdict: VerdictCondemned}}
+	if len(ran) == 1 && ran[crashed.digest] && qua.Suspect(now, crashed.digest) && !qua.remoteSuspect(now, crashed) {
+		delete(qua.suspects, crashed.digest)
+		qua.condemned[crashed.digest] = now.Add(QuarantineTime)
+		return []Report{{Digest: crashed.digest, Endpoint: crashed.endpoint, Verdict: VerdictCondemned}}
 	}
 	var reports []Report
 	for digest := range ran {
@@ -202,22 +224,22 @@
 			before = qua.suspects[digest].crashes
 		}
 		qua.suspect(now, digest, before+1)
-		reports = append(reports, qua.report(digest, seen.endpoint, VerdictSuspect))
+		reports = append(reports, qua.report(digest, crashed.endpoint, VerdictSuspect))
 	}
 	return reports
 }
 
-// remoteSuspect reports whether another daemon's suspect ran on the endpoint of a run.
-func (qua *Quarantine) remoteSuspect(now time.Time, seen run) bool {
+// remoteSuspect reports whether a suspect of another daemon was running on the endpoint of a crashed run.
+func (qua *Quarantine) remoteSuspect(now time.Time, crashed run) bool {
 	for digest, one := range qua.remote {
-		if one.endpoint == seen.endpoint && now.Before(one.until) && digest != seen.digest {
+		if one.endpoint == crashed.endpoint && now.Before(one.until) && digest != crashed.digest {
 			return true
 		}
 	}
 	return false
 }
 
-// Receive takes in another daemon's report and reports whether it is well-formed.
+// Receive applies a report of another daemon. It returns false if the report is malformed.
 func (qua *Quarantine) Receive(now time.Time, rep Report) bool {
 	if rep.Digest == "" || len(rep.Digest) > maxReportBytes || len(rep.Endpoint) > maxReportBytes {
 		return false
@@ -228,14 +250,16 @@
 	}
 	switch rep.Verdict {
 	case VerdictRunning, VerdictShared:
-		// An endpoint that this daemon uses is not idle, so closing it helps only a suspect that waits for it.
+		// If this daemon has a run on the endpoint, the endpoint is not idle. Closing it then helps only a suspect that
+		// waits until it is idle, which a suspect with aloneCrashes crashes does.
 		one := remoteRun{endpoint: rep.Endpoint, until: now.Add(remoteRunTime)}
 		if rep.Verdict == VerdictRunning && (!qua.Busy(rep.Endpoint) || rep.Crashes >= aloneCrashes) {
 			one.closedUntil = now.Add(ClosedTime)
 		}
 		if rep.Verdict == VerdictShared {
-			// The other daemon's report opens the endpoint for all, so that an own run of this content is not alone either.
-			qua.open(rep.Digest, rep.Endpoint)
+			// The other daemon has reopened the endpoint to all requests, so a run of the same content that this daemon
+			// has there isn't alone either.
+			qua.reopen(rep.Digest, rep.Endpoint)
 		}
 		qua.remote[rep.Digest] = one
 		qua.suspect(now, rep.Digest, rep.Crashes)
@@ -255,6 +279,7 @@
 	return true
 }
 
+// prune removes expired suspects, condemned requests and remote runs.
 func (qua *Quarantine) prune(now time.Time) {
 	for digest, one := range qua.suspects {
 		if !now.Before(one.until) {
--- a/retry/trial.go
+++ b/retry/trial.go
@@ -2,27 +2,30 @@
 
 import "time"
 
-// aloneCrashes is the number of crashes from which a suspect runs only on an endpoint that it has to itself.
+// aloneCrashes is the number of crashes from which a suspect runs only alone on its endpoint.
 const aloneCrashes = 2
 
-// Trial is the next step of a suspect before it is sent to its endpoint.
+// Trial is the next step before a request is sent to its endpoint, which depends on whether it is a suspect.
 type Trial int
 
 // The steps of a trial.
 const (
-	// TrialNone lets a request run that is no suspect.
+	// TrialNone means that the request is no suspect and may run.
 	TrialNone Trial = iota
-	// TrialShared lets a suspect run beside others, after which a crash does not condemn it.
+	// TrialShared means that the suspect may run beside other requests; a crash of the endpoint will not condemn it.
 	TrialShared
-	// TrialAsk asks the other daemons and the endpoint whether anything else runs there.
+	// TrialAsk means that the caller must ask the other daemons and the endpoint whether anything else runs there, and
+	// pass the answer to Settle.
 	TrialAsk
-	// TrialAlone lets a suspect run that has the endpoint to itself.
+	// TrialAlone means that the suspect may run, alone on its endpoint.
 	TrialAlone
-	// TrialWait keeps the endpoint closed until it is idle.
+	// TrialWait means that the suspect must wait until its endpoint is idle; the endpoint stays closed meanwhile.
 	TrialWait
 )
 
-// Try begins a suspect's trial. At most the given number of endpoints are closed, unless the suspect was in two crashes.
+// Try begins the trial of a suspect and closes its endpoint to other requests. If other requests of this daemon run there
+// or more than maxClosed endpoints would be closed, the suspect shares the endpoint instead, unless it has aloneCrashes
+// crashes. The report is to be sent to the other daemons with TrialShared and TrialAsk.
 func (qua *Quarantine) Try(now time.Time, id string, maxClosed int) (Trial, Report) {
 	one, ok := qua.runs[id]
 	if !ok || !qua.Suspect(now, one.digest) {
@@ -30,19 +33,20 @@
 	}
 	one.closedUntil = now.Add(ClosedTime)
 	qua.runs[id] = one
-	if !qua.mustBeAlone(one.digest) && (qua.beside(id) || len(qua.Closed(now)) > maxClosed) {
+	if !qua.mustBeAlone(one.digest) && (qua.sharesEndpoint(id) || len(qua.Closed(now)) > maxClosed) {
 		return qua.share(id)
 	}
 	return TrialAsk, qua.report(one.digest, one.endpoint, VerdictRunning)
 }
 
-// Settle takes the answer to TrialAsk, which is true if nothing else runs on the endpoint.
+// Settle continues a trial after TrialAsk; idle is true if the other daemons and the endpoint have answered that nothing
+// else runs there. The report is to be sent to the other daemons with TrialShared.
 func (qua *Quarantine) Settle(id string, idle bool) (Trial, Report) {
 	one, ok := qua.runs[id]
 	switch {
 	case !ok:
 		return TrialNone, Report{}
-	case idle && !qua.beside(id):
+	case idle && !qua.sharesEndpoint(id):
 		one.alone = true
 		qua.runs[id] = one
 		return TrialAlone, Report{}
@@ -53,14 +57,15 @@
 	}
 }
 
+// share reopens the endpoint of a run to other requests.
 func (qua *Quarantine) share(id string) (Trial, Report) {
 	one := qua.runs[id]
-	qua.open(one.digest, one.endpoint)
+	qua.reopen(one.digest, one.endpoint)
 	return TrialShared, qua.report(one.digest, one.endpoint, VerdictShared)
 }
 
-// open lets others start on an endpoint beside a request's runs.
-func (qua *Quarantine) open(digest, endpoint string) {
+// reopen allows other requests to start on an endpoint beside the runs of a request, which are then not alone there.
+func (qua *Quarantine) reopen(digest, endpoint string) {
 	for id, one := range qua.runs {
 		if one.digest == digest && one.endpoint == endpoint {
 			one.closedUntil, one.alone = time.Time{}, false
@@ -69,12 +74,13 @@
 	}
 }
 
+// mustBeAlone reports whether a suspect has so many crashes that it may only run alone on its endpoint.
 func (qua *Quarantine) mustBeAlone(digest string) bool {
 	return qua.suspects[digest].crashes >= aloneCrashes
 }
 
-// beside reports whether this daemon has another request's run on the endpoint of a run.
-func (qua *Quarantine) beside(id string) bool {
+// sharesEndpoint reports whether this daemon runs another request on the endpoint of a run.
+func (qua *Quarantine) sharesEndpoint(id string) bool {
 	own := qua.runs[id]
 	for _, one := range qua.runs {
 		if one.digest != own.digest && one.endpoint == own.endpoint {
@@ -94,7 +100,8 @@
 	return false
 }
 
-// Closed returns the endpoints that a suspect has, or waits to have, to itself; nil if there are none.
+// Closed returns the endpoints that accept no new requests because a suspect runs there alone or waits to do so; nil if
+// there are none.
 func (qua *Quarantine) Closed(now time.Time) map[string]bool {
 	if len(qua.suspects) == 0 {
 		return nil
@@ -119,7 +126,8 @@
 	return closed
 }
 
-// closedFor reports whether a suspect has an endpoint to itself. The same content may run there again.
+// closedFor reports whether an endpoint is closed to a request because of a suspect. It is not closed to requests with
+// the same content as the suspect.
 func (qua *Quarantine) closedFor(now time.Time, digest, endpoint string) bool {
 	if len(qua.suspects) == 0 {
 		return false
