--- a/retry/budget.go
+++ b/retry/budget.go
@@ -102,7 +102,8 @@
 	}
 }
 
-// NewPauses returns an exponential back-off with full jitter. The upper bound of its pauses grows from 50 ms to 1 s.
+// NewPauses returns an exponential back-off with full jitter, so that retries don't synchronise. The upper bound of its
+// pauses grows from 50 ms to 1 s.
 func NewPauses() backoff.BackOff {
 	pauses := backoff.NewExponentialBackOff()
 	// With a factor of 1, pauses are drawn from 0 to twice the interval; the intervals are therefore halved.
--- a/retry/quarantine.go
+++ b/retry/quarantine.go
@@ -194,8 +194,8 @@
 }
 
 // Crash records that an endpoint crashed and broke the connection of a run at the given time, and returns the reports to
-// send. It condemns the request of that run if it was a suspect and ran alone, also without a suspect of another daemon;
-// otherwise it makes every request that was running on the endpoint a suspect. All these runs are removed, so that later calls for the same crash, one for each
+// send. It condemns the request of that run if it was a suspect and ran alone, and no suspect of another daemon was
+// running there; otherwise it makes every request that was running on the endpoint a suspect. All these runs are removed, so that later calls for the same crash, one for each
 // broken connection, have no effect.
 func (qua *Quarantine) Crash(now time.Time, id string, brokenAt time.Time) []Report {
 	crashed, ok := qua.runs[id]
--- a/routing/tracker.go
+++ b/routing/tracker.go
@@ -146,7 +146,7 @@
 	return tokens
 }
 
-// Sent counts a call that was sent to a plain service.
+// Sent counts a call that is sent to a plain service.
 func (trk *Tracker) Sent(name string, _ int) {
 	trk.entry(name).update(func(sta *EndpointStatus) { sta.InFlight++ })
 }
