--- a/limit/agent.go
+++ b/limit/agent.go
@@ -13,7 +13,7 @@
 	"papayacroft/membership"
 )
 
-// MethodShare is the method that daemons call at an owner.
+// MethodShare is the method by which daemons report demand to an owner and request shares.
 const MethodShare = "limit.share"
 
 // Caller calls other daemons.
@@ -21,15 +21,15 @@
 	Call(ctx context.Context, address, method string, params, result any) error
 }
 
-// View is what the agent needs to know of the control state.
+// View is the part of the daemon's control state that the agent needs.
 type View struct {
 	// Configuration is nil if none is in force.
 	Configuration *inventory.Configuration
-	// Members is empty until this daemon knows of any; it then uses static shares.
+	// Members is empty until this daemon has received a list of members; until then it uses static shares.
 	Members []membership.Member
-	// VMs is the number of daemons on the platform's list.
+	// VMs is the number of daemons on the platform's list of VMs.
 	VMs int
-	// Over reports whether an organisation's owner sees it near or over its limit.
+	// Over reports whether an organisation's owner has announced that it is near or over its limit.
 	Over func(organisation string) bool
 }
 
@@ -49,14 +49,16 @@
 	return nds
 }
 
-// Agent exchanges demand and shares with the owners.
+// Agent reports this daemon's demand to the owners, applies the shares that they grant, and answers the reports of
+// other daemons for the organisations that this daemon owns.
 type Agent struct {
 	Incarnation string
 	Limiter     *Limiter
 	Owner       *Owner
 	Peers       Caller
 	View        func() View
-	// Announce tells all daemons which organisations are over their limit, and until when.
+	// Announce gossips the organisations that are over their limit to all daemons, each with the time until which
+	// it counts as such.
 	Announce func(now time.Time, over map[string]time.Time)
 
 	// members identifies the live daemons at the last exchange.
@@ -89,7 +91,7 @@
 	vew := agt.View()
 	if members := agt.observe(now, vew); members != agt.members {
 		agt.members = members
-		agt.Limiter.Rehome(func(organisation string) string {
+		agt.Limiter.ReportToNewOwners(func(organisation string) string {
 			own, _ := owner(vew, organisation)
 			return own.Incarnation
 		})
@@ -98,7 +100,7 @@
 	addresses := map[string]string{}
 	messages, most := 0, maxMessages
 	if vew.nodes().small() {
-		most = maxSmallMessages
+		most = maxMessagesSmallDeployment
 	}
 	for _, name := range agt.Limiter.Candidates(now, vew.Over) {
 		own, ok := owner(vew, Organisation(name))
@@ -107,7 +109,7 @@
 		}
 		if _, ok := names[own.Incarnation]; !ok && own.Incarnation != agt.Incarnation {
 			if messages == most {
-				// The next period reports what is left.
+				// A later period reports this subject.
 				continue
 			}
 			messages++
@@ -118,7 +120,7 @@
 	var wgr sync.WaitGroup
 	for incarnation, address := range addresses {
 		req := ShareRequest{Node: agt.Incarnation, Reports: agt.Limiter.Reports(now, names[incarnation])}
-		wgr.Go(func() { agt.ask(ctx, clock, vew, incarnation, address, req) })
+		wgr.Go(func() { agt.requestShares(ctx, clock, vew, incarnation, address, req) })
 	}
 	wgr.Wait()
 	now = clock()
@@ -127,29 +129,29 @@
 	agt.Announce(now, agt.Owner.Over(now))
 }
 
-func (agt *Agent) ask(ctx context.Context, clock func() time.Time, vew View, incarnation, address string, req ShareRequest) {
-	asked := clock()
+func (agt *Agent) requestShares(ctx context.Context, clock func() time.Time, vew View, incarnation, address string, req ShareRequest) {
+	requestedAt := clock()
 	var rep ShareReply
 	if incarnation == agt.Incarnation {
 		if vew.Configuration == nil {
 			return
 		}
-		rep = agt.Owner.Grant(asked, vew.Configuration, vew.nodes(), req)
+		rep = agt.Owner.Grant(requestedAt, vew.Configuration, vew.nodes(), req)
 	} else if err := agt.Peers.Call(ctx, address, MethodShare, req, &rep); err != nil {
-		// The share stays valid for a short time; then the static share applies.
-		agt.Limiter.Unanswered(clock(), req)
+		// The share stays valid for at most ShareLifetime; then the default share applies.
+		agt.Limiter.RequestFailed(clock(), req)
 		return
 	}
 	now := clock()
-	agt.Limiter.Apply(now, asked, incarnation, req, rep)
+	agt.Limiter.Apply(now, requestedAt, incarnation, req, rep)
 	over := map[string]time.Time{}
 	for _, organisation := range rep.Over {
-		over[organisation] = now.Add(OverTime)
+		over[organisation] = now.Add(OverLimitTime)
 	}
 	agt.Announce(now, over)
 }
 
-// owner chooses the daemon that hands out an organisation's shares.
+// owner returns the daemon that grants an organisation's shares, chosen by rendezvous hashing.
 func owner(vew View, organisation string) (membership.Member, bool) {
 	order := membership.Rendezvous(vew.Members, "limits\x00"+organisation)
 	if len(order) == 0 {
@@ -163,7 +165,7 @@
 	return ok && own.Incarnation == agt.Incarnation
 }
 
-// observe tells the owner of the live daemons and returns what identifies them.
+// observe passes the live daemons to this daemon's Owner and returns a string that identifies them.
 func (agt *Agent) observe(now time.Time, vew View) string {
 	var live []string
 	for _, mem := range membership.Rendezvous(vew.Members, "") {
@@ -174,7 +176,7 @@
 	return members
 }
 
-// HandleShare answers another daemon's reports for the organisations that this daemon owns.
+// HandleShare answers another daemon's reports of the organisations that this daemon owns.
 func (agt *Agent) HandleShare(_ context.Context, params json.RawMessage) (any, error) {
 	return agt.handle(time.Now(), params)
 }
--- a/limit/agent_test.go
+++ b/limit/agent_test.go
@@ -13,7 +13,7 @@
 	"papayacroft/membership"
 )
 
-// agents are daemons that reach each other in memory unless cut is set.
+// agents is a set of daemons that call each other in memory; calls fail while cut is set.
 type agents struct {
 	all map[string]*Agent
 	cut bool
@@ -32,8 +32,8 @@
 	return json.Unmarshal(data, result)
 }
 
-// Guards against shares that do not reach the daemon with the demand, and against a daemon that keeps its share
-// after the owner cannot be reached.
+// Guards against an owner that does not grant the whole limit to the only daemon with demand, and against a daemon
+// that keeps a granted share although its owner cannot be reached.
 func TestAgents(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		agts := &agents{all: map[string]*Agent{}}
--- a/limit/exchange.go
+++ b/limit/exchange.go
@@ -15,37 +15,39 @@
 const (
 	// Period is the shortest time between two reports of one limit to its owner.
 	Period = 2 * time.Second
-	// dueTolerance lets a report that is due in a moment go with this period instead of the next.
+	// dueTolerance is how long before its due time a report may be sent, so that it goes with the present period
+	// instead of the next.
 	dueTolerance = Period / 4
-	// lifetimePeriods makes a share outlast two lost messages.
+	// lifetimePeriods is the lifetime of a share in report intervals; a share outlasts two lost messages.
 	lifetimePeriods = 3
-	// ShareLifetime is how long a share is valid after it was asked for, if its owner wants the next report
-	// after one period. It also bounds the validity after the owner did not answer.
+	// ShareLifetime is how long a share is valid after it was requested, if its owner wants the next report
+	// after one period. After a request that the owner does not answer, it bounds the remaining validity.
 	ShareLifetime = lifetimePeriods * Period
-	// unusedReports is the number of reports without requests after which a subject is not reported any more.
-	unusedReports = 3
-	// maxMessages bounds the messages of one period; a small deployment sends more, so that the 7 other owners
-	// of 8 daemons are asked within two periods, before a share expires.
-	maxMessages, maxSmallMessages = 1, 4
-	// maxCandidates bounds the subjects whose owners a period looks up; in a small deployment several have one owner.
-	maxCandidates, maxSmallCandidates = 4, 32
-	// reportDelay is the time that a report of a larger deployment may wait: ten messages of one daemon.
-	reportDelay = 10 * Period
-	// calmPause is the time between two messages of a daemon in a larger deployment if it refused nobody.
-	calmPause = 2 * Period
-	// anyPeriods is the number of periods of which one prefers no urgent reports. Others would never be sent, and
-	// shares that are not used any more would keep other daemons from using the limit.
-	anyPeriods = 4
-	// growthFactor and growthRate (requests/s) tell a demand that is worth a report before its time
-	// from the noise of a few requests.
+	// maxIdleReports is the number of consecutive reports without demand after which a subject is no longer reported.
+	maxIdleReports = 3
+	// maxMessages bounds the messages that a daemon sends in one period. A small deployment may send more, so that
+	// a daemon of 8 sends reports to the 7 other owners within two periods, before a share expires.
+	maxMessages, maxMessagesSmallDeployment = 1, 4
+	// maxCandidates bounds the subjects whose owners are looked up in one period. A small deployment looks up more,
+	// because several subjects have the same owner and go into one message.
+	maxCandidates, maxCandidatesSmallDeployment = 4, 32
+	// maxReportDelay is how long a due report of a larger deployment may wait: the time of ten messages of a daemon.
+	maxReportDelay = 10 * Period
+	// nonUrgentPause is the time between two messages of a daemon in a larger deployment if no report is urgent.
+	nonUrgentPause = 2 * Period
+	// One period in urgencyIgnoredEvery orders reports by their due times only. Otherwise reports that are not urgent
+	// might never be sent, and shares that are no longer used would keep other daemons from using the limit.
+	urgencyIgnoredEvery = 4
+	// growthFactor and growthRate (requests/s) are the growth of demand since the last report that justifies a report
+	// before it is due; smaller growth may be the noise of a few requests.
 	growthFactor, growthRate = 2, 1
 )
 
-// Report tells an owner what a daemon's callers ask for under one limit, and the share that the daemon holds.
+// Report is a daemon's demand under one limit, and the share that the daemon holds.
 type Report struct {
 	Subject string
 	Wanted  Share
-	// Held is nil while the daemon uses its static share.
+	// Held is nil while the daemon has no share that an owner granted.
 	Held *Share
 }
 
@@ -59,7 +61,7 @@
 	return data, trace.Wrap(err)
 }
 
-// UnmarshalJSON reads what MarshalJSON formats.
+// UnmarshalJSON parses the array that MarshalJSON formats.
 func (rep *Report) UnmarshalJSON(data []byte) error {
 	return trace.Wrap(json.Unmarshal(data, &[]any{&rep.Subject, &rep.Wanted, &rep.Held}))
 }
@@ -70,55 +72,56 @@
 	return data, trace.Wrap(err)
 }
 
-// UnmarshalJSON reads what MarshalJSON formats.
+// UnmarshalJSON parses the array that MarshalJSON formats.
 func (shr *Share) UnmarshalJSON(data []byte) error {
 	return trace.Wrap(json.Unmarshal(data, &[]any{&shr.Rate, &shr.Concurrent}))
 }
 
-// ShareRequest is what a daemon sends to an owner.
+// ShareRequest is the message with a daemon's reports to an owner.
 type ShareRequest struct {
 	Node    string   `json:"node"`
 	Reports []Report `json:"reports"`
 }
 
-// ShareReply holds a share for each report in order, or nil where the owner can't grant any.
+// ShareReply holds a share for each report in order, or nil where the owner's configuration sets no limit.
 type ShareReply struct {
 	Shares []*Share `json:"shares"`
-	// Again is the number of seconds after which the owner wants the next report.
-	Again float64 `json:"again"`
-	// Over holds the organisations of the request of which daemons want more than the limit.
+	// NextReportSeconds is the time after which the owner wants the next report.
+	NextReportSeconds float64 `json:"again"`
+	// Over holds the organisations of the request whose demand over all daemons exceeds the limit.
 	Over []string `json:"over,omitempty"`
 }
 
-// again is the owner's wish within bounds; nothing from another daemon may stop this one's reports.
-func (rep ShareReply) again() time.Duration {
-	return min(max(time.Duration(rep.Again*float64(time.Second)), Period), maxAgain)
+// reportInterval returns NextReportSeconds within bounds, so that no value in a reply stops this daemon's reports.
+func (rep ShareReply) reportInterval() time.Duration {
+	return min(max(time.Duration(rep.NextReportSeconds*float64(time.Second)), Period), maxReportInterval)
 }
 
-// lifetime is how long a share is valid if its owner wants the next report after a time. Longer times are those of
-// larger deployments, in which a report may wait for others.
-func lifetime(again time.Duration) time.Duration {
-	if again > Period {
-		return lifetimePeriods*again + reportDelay
+// lifetime returns how long a share is valid if its owner wants the next report after an interval. Intervals of more
+// than a period add maxReportDelay, since in larger deployments a report may wait until others have been sent.
+func lifetime(interval time.Duration) time.Duration {
+	if interval > Period {
+		return lifetimePeriods*interval + maxReportDelay
 	}
-	return lifetimePeriods * again
+	return lifetimePeriods * interval
 }
 
-// Organisation returns the organisation of a subject; its owner hands out the shares of its teams too.
+// Organisation returns the organisation of a subject; its owner grants the shares of its teams too.
 func Organisation(subject string) string {
 	organisation, _, _ := strings.Cut(subject, "/")
 	return organisation
 }
 
-// candidate is a subject that an owner should hear of since a time; urgent ones were refused or are over their limit.
+// candidate is a subject that should be reported to its owner. It is urgent if requests were refused or the
+// organisation is over its limit. Of equally urgent candidates the one with the earliest time in since goes first.
 type candidate struct {
 	name   string
 	urgent bool
 	since  time.Time
 }
 
-// Candidates ends a period and returns the subjects that owners should hear of: urgent ones, then those that wait
-// longest. A daemon within its static share is silent, unless the owner sees the organisation over its limit.
+// Candidates ends a period and returns the subjects to report to their owners: urgent ones first, then those that
+// have waited longest. Demand within the static share is not reported, unless the organisation is over its limit.
 func (lim *Limiter) Candidates(now time.Time, over func(organisation string) bool) []string {
 	lim.mutex.Lock()
 	defer lim.mutex.Unlock()
@@ -130,9 +133,9 @@
 		}
 	}
 	lim.periods++
-	anyTurn := lim.periods%anyPeriods == 0
+	ignoreUrgency := lim.periods%urgencyIgnoredEvery == 0
 	slices.SortFunc(candidates, func(one, other candidate) int {
-		if one.urgent != other.urgent && !anyTurn {
+		if one.urgent != other.urgent && !ignoreUrgency {
 			if one.urgent {
 				return -1
 			}
@@ -140,9 +143,9 @@
 		}
 		return cmp.Or(one.since.Compare(other.since), cmp.Compare(one.name, other.name))
 	})
-	most, pausing := maxCandidates, now.Add(dueTolerance).Before(lim.reportedAt.Add(calmPause))
+	most, pausing := maxCandidates, now.Add(dueTolerance).Before(lim.reportedAt.Add(nonUrgentPause))
 	if nodes.small() {
-		most, pausing = maxSmallCandidates, false
+		most, pausing = maxCandidatesSmallDeployment, false
 	}
 	var names []string
 	for _, cdt := range candidates[:min(len(candidates), most)] {
@@ -162,14 +165,14 @@
 		return candidate{}, false
 	}
 	wanted, overLimit, due := sub.wanted(now), over(), sub.due
-	if overLimit && sub.calm {
-		// The owner gave this share when the organisation was not over its limit.
+	if overLimit && sub.grantedBelowLimit {
+		// The owner granted this share before the organisation was over its limit, so a report is due now.
 		due = sub.since
 	}
-	if now.Add(dueTolerance).Before(due) && !(sub.demand.refused && wanted.Rate > growthFactor*sub.reported+growthRate) {
+	if now.Add(dueTolerance).Before(due) && !(sub.demand.refused && wanted.Rate > growthFactor*sub.reportedRate+growthRate) {
 		return candidate{}, false
 	}
-	if !overLimit && !sub.beyond(wanted, StaticShare(sub.limits, nodes.All), held) {
+	if !overLimit && !sub.needsReport(wanted, StaticShare(sub.limits, nodes.All), held) {
 		sub.restart(now)
 		return candidate{}, false
 	}
@@ -177,28 +180,28 @@
 	if !urgent {
 		due = later(due, sub.since)
 	}
-	return candidate{sub.name, urgent, due}, sub.unused < unusedReports || sub.demand != (demand{})
+	return candidate{sub.name, urgent, due}, sub.idleReports < maxIdleReports || sub.demand != (demand{})
 }
 
-// beyond reports whether the owner should hear of the subject though it is not over its limit.
-func (sub *subject) beyond(wanted, static Share, held bool) bool {
+// needsReport reports whether the subject has to be reported to the owner though it is not over its limit.
+func (sub *subject) needsReport(wanted, static Share, held bool) bool {
 	switch {
 	case sub.demand.refused || wanted.Concurrent > static.Concurrent:
 		return true
 	case !held:
-		return sub.demand.beyond
+		return sub.demand.beyondStatic
 	default:
-		// A new owner must hear of each share that another one granted.
+		// A new owner needs a report of each share that an earlier one granted.
 		return wanted.Rate > static.Rate || sub.owner == ""
 	}
 }
 
-// restart begins to count demand anew; the caller holds the mutex.
+// restart resets the demand to the requests in flight; the caller holds the mutex.
 func (sub *subject) restart(now time.Time) {
 	sub.demand, sub.since = demand{peak: sub.inFlight}, now
 }
 
-// Reports returns the demand for subjects since their last reports.
+// Reports returns reports of the demand for subjects since their last reports.
 func (lim *Limiter) Reports(now time.Time, names []string) []Report {
 	lim.mutex.Lock()
 	defer lim.mutex.Unlock()
@@ -220,50 +223,50 @@
 		share := sub.share
 		rep.Held = &share
 	}
-	// A subject out of use gives its share back by silence.
-	if sub.unused++; sub.demand != (demand{}) {
-		sub.unused = 0
+	// After maxIdleReports the subject is no longer reported, so that its share expires.
+	if sub.idleReports++; sub.demand != (demand{}) {
+		sub.idleReports = 0
 	}
-	// Without an answer the next report follows in one period.
-	sub.due, sub.reported = now.Add(Period), rep.Wanted.Rate
+	// If the owner does not answer, the next report follows in one period.
+	sub.due, sub.reportedRate = now.Add(Period), rep.Wanted.Rate
 	sub.restart(now)
 	return rep
 }
 
-// wanted is the demand since the last report; the caller holds the mutex.
+// wanted returns the demand since the last report; the caller holds the mutex.
 func (sub *subject) wanted(now time.Time) (wanted Share) {
 	dem := sub.demand
 	if sub.limits.RequestsPerSecond > 0 {
 		wanted.Rate = float64(dem.requests) / max(now.Sub(sub.since), Period).Seconds()
 	}
 	if sub.limits.Concurrent > 0 {
-		// Refusals are no measure of concurrency, so the demand at most doubles from one report to the next.
-		wanted.Concurrent = min(dem.peak+min(dem.full, max(dem.peak, 1)), sub.limits.Concurrent)
+		// The number of refusals does not measure concurrency, so the demand at most doubles between two reports.
+		wanted.Concurrent = min(dem.peak+min(dem.concurrencyRefusals, max(dem.peak, 1)), sub.limits.Concurrent)
 	}
 	return wanted
 }
 
-// Apply puts granted shares in force; asked is the time at which the request was sent to the owner.
-func (lim *Limiter) Apply(now, asked time.Time, owner string, req ShareRequest, rep ShareReply) {
+// Apply applies granted shares; requestedAt is the time at which the request was sent to the owner.
+func (lim *Limiter) Apply(now, requestedAt time.Time, owner string, req ShareRequest, rep ShareReply) {
 	lim.mutex.Lock()
 	defer lim.mutex.Unlock()
 	if len(rep.Shares) != len(req.Reports) {
 		return
 	}
-	again := rep.again()
+	interval := rep.reportInterval()
 	for i, one := range req.Reports {
 		if sub, ok := lim.subjects[one.Subject]; ok && rep.Shares[i] != nil {
 			sub.mutex.Lock()
-			full := slices.Contains(rep.Over, Organisation(one.Subject))
-			sub.set(now, sub.within(*rep.Shares[i]), full, asked.Add(lifetime(again)))
-			sub.due, sub.owner, sub.calm = asked.Add(again), owner, again == calmAgain
+			overLimit := slices.Contains(rep.Over, Organisation(one.Subject))
+			sub.set(now, sub.clamp(*rep.Shares[i]), overLimit, requestedAt.Add(lifetime(interval)))
+			sub.due, sub.owner, sub.grantedBelowLimit = requestedAt.Add(interval), owner, interval == belowLimitInterval
 			sub.mutex.Unlock()
 		}
 	}
 }
 
-// Unanswered bounds the validity of shares whose owner did not answer.
-func (lim *Limiter) Unanswered(now time.Time, req ShareRequest) {
+// RequestFailed shortens the validity of the shares in a request that the owner did not answer to ShareLifetime.
+func (lim *Limiter) RequestFailed(now time.Time, req ShareRequest) {
 	lim.mutex.Lock()
 	defer lim.mutex.Unlock()
 	for _, one := range req.Reports {
@@ -277,8 +280,8 @@
 	}
 }
 
-// Rehome makes the shares of owners that are not the owner any more due for a report at once.
-func (lim *Limiter) Rehome(owner func(organisation string) string) {
+// ReportToNewOwners makes a report due at once for each share whose organisation now has another owner.
+func (lim *Limiter) ReportToNewOwners(owner func(organisation string) string) {
 	lim.mutex.Lock()
 	defer lim.mutex.Unlock()
 	for name, sub := range lim.subjects {
@@ -290,15 +293,15 @@
 	}
 }
 
-// within keeps a share inside this daemon's own configuration.
-func (sub *subject) within(share Share) Share {
+// clamp limits a share to the limits of this daemon's own configuration.
+func (sub *subject) clamp(share Share) Share {
 	return Share{
 		Rate:       min(max(share.Rate, 0), sub.limits.RequestsPerSecond),
 		Concurrent: min(max(share.Concurrent, 0), sub.limits.Concurrent),
 	}
 }
 
-// Expire replaces shares that were not renewed by what holds without a share.
+// Expire replaces expired shares by the default share.
 func (lim *Limiter) Expire(now time.Time, over func(organisation string) bool) {
 	lim.mutex.Lock()
 	defer lim.mutex.Unlock()
@@ -306,13 +309,13 @@
 	for name, sub := range lim.subjects {
 		sub.mutex.Lock()
 		if !now.Before(sub.expires) {
-			sub.withoutShare(now, nodes, over(Organisation(name)))
+			sub.applyDefaultShare(now, nodes, over(Organisation(name)))
 		}
 		sub.mutex.Unlock()
 	}
 }
 
-// Limits finds a subject's limits in a configuration.
+// Limits returns a subject's limits in a configuration.
 func Limits(cfg *inventory.Configuration, subject string) inventory.Limits {
 	if strings.Contains(subject, "/") {
 		tem, _ := cfg.Team(subject)
--- a/limit/limit_test.go
+++ b/limit/limit_test.go
@@ -21,7 +21,7 @@
 	return &inventory.Configuration{Organisations: map[string]inventory.Organisation{"rimu": organisation("rimu"), "nikau": organisation("nikau")}}
 }
 
-// cluster is a set of daemons that share limits; the first has the owner of every organisation.
+// cluster is a set of daemons that share limits; one Owner grants the shares of all organisations.
 type cluster struct {
 	now      time.Time
 	cfg      *inventory.Configuration
@@ -46,7 +46,7 @@
 	clu.limiters = append(clu.limiters, lim)
 }
 
-// run offers each daemon a rate of requests for one period, then exchanges shares; it returns the admitted rates.
+// run offers each daemon a rate of requests for one period and returns the admitted rates.
 func (clu *cluster) run(organisation string, offered []float64) []float64 {
 	const step = 10 * time.Millisecond
 	admitted := make([]float64, len(offered))
@@ -73,7 +73,7 @@
 	for i, lim := range clu.limiters {
 		req := ShareRequest{Node: fmt.Sprint(i), Reports: lim.Reports(clu.now, lim.Candidates(clu.now, over))}
 		if clu.cutOff[i] {
-			lim.Unanswered(clu.now, req)
+			lim.RequestFailed(clu.now, req)
 		} else {
 			lim.Apply(clu.now, clu.now, "owner", req, clu.owner.Grant(clu.now, clu.cfg, nodes, req))
 		}
@@ -81,7 +81,7 @@
 	}
 }
 
-// shareSum adds up what daemons may use now.
+// shareSum adds up the shares that the daemons apply now.
 func (clu *cluster) shareSum(organisation string) (sum Share) {
 	for _, lim := range clu.limiters {
 		if sub := lim.subjects[organisation]; sub != nil {
@@ -99,7 +99,8 @@
 	return sum
 }
 
-// Guards against a balancer's uneven spread that wastes an organisation's limit, and against more than the limit.
+// Guards against refusals below an organisation's limit when a load balancer spreads its requests unevenly over the
+// daemons, and against admitting more than the limit.
 func TestUnevenBalancingUsesTheLimit(t *testing.T) {
 	clu := newCluster(8, inventory.Limits{RequestsPerSecond: 80})
 	offered := []float64{70, 20, 2, 2, 2, 2, 2, 0}
@@ -112,21 +113,21 @@
 	}
 }
 
-// Guards against one organisation's flood that takes another's share.
-func TestFloodLeavesOtherOrganisations(t *testing.T) {
+// Guards against refusals of one organisation's requests because another exceeds its own limit.
+func TestFloodLeavesShareOfOtherOrganisations(t *testing.T) {
 	clu := newCluster(4, inventory.Limits{RequestsPerSecond: 40})
-	calm := []float64{8.01, 8.01, 8.01, 8.01}
+	withinLimit := []float64{8.01, 8.01, 8.01, 8.01}
 	for range 4 {
 		clu.run("rimu", []float64{1000, 1000, 1000, 1000})
-		if got := total(clu.run("nikau", calm)); got < 31 {
-			t.Errorf("got %.1f requests/s of the calm organisation; want 32", got)
+		if got := total(clu.run("nikau", withinLimit)); got < 31 {
+			t.Errorf("got %.1f requests/s of the organisation within its limit; want 32", got)
 		}
 		clu.exchange()
 	}
 }
 
-// Guards against a daemon that stays without a share after it joins, and against a sum of shares beyond the limit
-// and the newcomer's static share.
+// Guards against a daemon that gets no fair share after it joins, and against shares that add up to more than the
+// limit and the static share of the joining daemon.
 func TestJoiningMember(t *testing.T) {
 	clu := newCluster(3, inventory.Limits{RequestsPerSecond: 60, Concurrent: 12})
 	offered := []float64{100, 100, 100}
@@ -139,16 +140,17 @@
 	for range 6 {
 		clu.run("rimu", offered)
 		if sum := clu.shareSum("rimu"); sum.Rate > 60+15+0.001 || sum.Concurrent > 12+3 {
-			t.Errorf("got shares of %+v; want at most the limit and the newcomer's static share", sum)
+			t.Errorf("got shares of %+v; want at most the limit and the joining daemon's static share", sum)
 		}
 		clu.exchange()
 	}
 	if got := clu.limiters[3].subjects["rimu"].share; math.Abs(got.Rate-15) > 0.001 || got.Concurrent != 3 {
-		t.Errorf("got share %+v of the newcomer; want a quarter", got)
+		t.Errorf("got share %+v of the daemon that joined; want a quarter", got)
 	}
 }
 
-// Guards against shares that outlive a lost owner, and a new owner that hands out what the old one gave already.
+// Guards against a daemon that keeps its granted share although it does not reach the new owner after the old one was
+// lost, and against a new owner that grants again what the old one had granted.
 func TestOwnerLost(t *testing.T) {
 	clu := newCluster(4, inventory.Limits{RequestsPerSecond: 40})
 	offered := []float64{100, 1, 1, 1}
@@ -158,7 +160,7 @@
 	}
 	clu.owner = NewOwner()
 	clu.owner.Observe(clu.now, "others", func(string) bool { return true })
-	// One daemon does not reach the new owner and falls back to its static share.
+	// One daemon does not reach the new owner and returns to its static share.
 	clu.cutOff[0] = true
 	for range 6 {
 		clu.run("rimu", offered)
@@ -172,7 +174,7 @@
 	}
 }
 
-// Guards against two halves of a partition that each hand out the whole limit.
+// Guards against owners on both sides of a partition that each grant the whole limit.
 func TestPartition(t *testing.T) {
 	limits := inventory.Limits{RequestsPerSecond: 40, Concurrent: 8}
 	sum := Share{}
@@ -196,8 +198,8 @@
 	}
 }
 
-// Guards against outstanding grants beyond the limit in any order of reports, with lost answers, and against a
-// demand that is cut while another is met beyond it.
+// Guards against unexpired grants that add up to more than the limit when reports arrive in any order and replies
+// get lost.
 func TestGrantsStayWithinLimit(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		limits := inventory.Limits{RequestsPerSecond: rapid.Float64Range(0.1, 1000).Draw(rt, "rate"), Concurrent: rapid.IntRange(1, 50).Draw(rt, "concurrent")}
@@ -213,7 +215,7 @@
 			}
 			reply := own.Grant(now, cfg, Nodes{Live: 5, All: 5}, ShareRequest{Node: fmt.Sprint(node), Reports: []Report{rep}})
 			if rapid.Bool().Draw(rt, "answered") {
-				held[node], expires[node] = *reply.Shares[0], now.Add(lifetime(reply.again()))
+				held[node], expires[node] = *reply.Shares[0], now.Add(lifetime(reply.reportInterval()))
 			}
 			var sum Share
 			for one, share := range held {
@@ -229,7 +231,7 @@
 	})
 }
 
-// Guards against a concurrency limit that does not count requests in flight, or does not free them.
+// Guards against a concurrency limit that ignores requests in flight or still counts requests that have ended.
 func TestConcurrent(t *testing.T) {
 	clu := newCluster(1, inventory.Limits{Concurrent: 2})
 	ref := inventory.TeamRef{Organisation: "rimu", Team: "members"}
@@ -244,7 +246,8 @@
 	}
 }
 
-// BenchmarkAcquire measures the check of one request: alone, contended by all cores, and refused.
+// BenchmarkAcquire measures the check of one request without a limit, admitted and refused, each on one goroutine
+// and contended by all cores.
 func BenchmarkAcquire(b *testing.B) {
 	ref := inventory.TeamRef{Organisation: "rimu", Team: "members"}
 	for name, limits := range map[string]inventory.Limits{
@@ -290,8 +293,9 @@
 	}
 }
 
-// Guards against reports of organisations that need none, which cost each daemon a message for each organisation.
-func TestCalmOrganisationIsSilent(t *testing.T) {
+// Guards against reports of organisations whose demand is within the static share of each daemon: they would cost
+// each daemon a message for each organisation.
+func TestNoReportsWithinStaticShare(t *testing.T) {
 	clu := newCluster(8, inventory.Limits{RequestsPerSecond: 80, Concurrent: 80})
 	for range 4 {
 		clu.run("rimu", []float64{9, 9, 9, 9, 9, 9, 9, 9})
@@ -303,14 +307,14 @@
 	}
 }
 
-// Guards against more than the static share where nobody may learn of it: in a partition, and while the owner sees the
-// organisation over its limit.
-func TestOpenShare(t *testing.T) {
+// Guards against daemons that use more than their static shares in a small or partitioned deployment, or while the
+// organisation is over its limit.
+func TestOvercommittedShare(t *testing.T) {
 	limits := inventory.Limits{RequestsPerSecond: 100}
 	for nodes, want := range map[Nodes]float64{
 		{Live: 8, All: 8}: 12.5, {Live: 100, All: 100}: 4, {Live: 91, All: 100}: 4, {Live: 50, All: 100}: 1, {Live: 0, All: 100}: 1,
 	} {
-		if got := OpenShare(limits, nodes).Rate; got != want {
+		if got := OvercommittedShare(limits, nodes).Rate; got != want {
 			t.Errorf("got share %.2f of %+v; want %.2f", got, nodes, want)
 		}
 	}
@@ -323,8 +327,9 @@
 	}
 }
 
-// Guards against a new owner that does not hear of a share held by a daemon that has become calm.
-func TestNewOwnerHearsOfHeldShares(t *testing.T) {
+// Guards against a daemon that does not report its granted share to a new owner because its demand has fallen below
+// its static share.
+func TestHeldSharesAreReportedToNewOwner(t *testing.T) {
 	clu := newCluster(8, inventory.Limits{RequestsPerSecond: 80})
 	for range 4 {
 		clu.run("rimu", []float64{70})
@@ -332,21 +337,22 @@
 	}
 	clu.run("rimu", []float64{1})
 	lim := clu.limiters[0]
-	lim.Rehome(func(string) string { return "another" })
+	lim.ReportToNewOwners(func(string) string { return "another" })
 	reports := lim.Reports(clu.now, lim.Candidates(clu.now, func(string) bool { return false }))
 	if len(reports) != 1 || reports[0].Held == nil || reports[0].Held.Rate < 60 {
 		t.Errorf("got reports %+v; want the held share", reports)
 	}
 }
 
-// Guards against a daemon that never reports an organisation again after it was out of use there.
-func TestReturnsAfterDisuse(t *testing.T) {
+// Guards against a daemon that stays at its static share because it never resumes reports of an organisation after
+// several reports without demand.
+func TestReportsResumeAfterIdlePeriods(t *testing.T) {
 	clu := newCluster(2, inventory.Limits{RequestsPerSecond: 20})
 	for _, rate := range []float64{40, 40, 40, 0, 0, 0, 0, 0, 0, 0, 0, 40, 40, 40, 40} {
 		clu.run("rimu", []float64{rate})
 		clu.exchange()
 	}
 	if got := clu.limiters[0].subjects["rimu"].share.Rate; got < 19.9 {
-		t.Errorf("got share %.1f after disuse; want the limit of 20", got)
+		t.Errorf("got share %.1f after periods without demand; want the limit of 20", got)
 	}
 }
--- a/limit/limiter.go
+++ b/limit/limiter.go
@@ -1,4 +1,6 @@
-// Package limit bounds the requests of teams and organisations over all daemons.
+// Package limit enforces the limits of teams and organisations across all daemons.
+// Each organisation has an owner among the daemons, which divides the limits into shares by the demand that
+// the daemons report; each daemon admits requests within its shares.
 package limit
 
 import (
@@ -14,31 +16,33 @@
 )
 
 const (
-	// maxRetryAfterSeconds bounds the pause that a refused caller is asked for.
+	// maxRetryAfterSeconds bounds the time after which a refused caller is asked to retry.
 	maxRetryAfterSeconds = 30
-	// minBurst is the number of requests that a daemon admits at once however small its share, but never more than
-	// arrive in as many seconds at the limit. With 400 daemons a share is far below 1 request/s; random arrivals
+	// minBurst is the smallest burst of a daemon's share, but at most the number of requests that arrive in
+	// minBurst seconds at the whole limit. With 400 daemons a share is far below 1 request/s; random arrivals
 	// at a quarter of it exceed a burst of 1 for one request in five and a burst of 4 for one in a thousand.
 	minBurst = 4
-	// minConcurrent is the concurrent share where there are more daemons than concurrent requests.
+	// minConcurrent is the static share of a concurrency limit that is smaller than the number of daemons.
 	minConcurrent = 2
-	// smallDeployment is the largest number of daemons in which each may send several reports in one period
-	// and keeps to its static share until it has one from the owner.
+	// smallDeployment is the largest number of daemons of a small deployment, in which a daemon may send several
+	// messages in one period and uses its static share until the owner grants one.
 	smallDeployment = 16
-	// openFactor is the multiple of the static share that a daemon of a larger deployment may use of an organisation
-	// that its owner does not see over its limit, since reports take a minute or more to reach all owners.
-	openFactor = 4
-	// reachablePart of the daemons must be live for that: the sides of a partition keep to static shares.
-	reachablePart = 0.9
+	// overcommitFactor is the multiple of its static share that a daemon of a larger deployment may use while the
+	// owner does not see the organisation near its limit, since reports take a minute or more to reach all owners.
+	overcommitFactor = 4
+	// minLiveFraction is the fraction of the daemons that must be live for overcommitted shares. With fewer, the
+	// network may be partitioned, and the daemons on each side keep to their static shares.
+	minLiveFraction = 0.9
 )
 
-// Share is the part of a limit that one daemon may use; zero values mean no limit.
+// Share is the part of a limit that one daemon may use. A field that the configuration does not limit is zero
+// and not enforced.
 type Share struct {
 	Rate       float64
 	Concurrent int
 }
 
-// Denial says which limit a request would exceed.
+// Denial is the refusal of a request that would exceed a limit.
 type Denial struct {
 	Reason            string
 	RetryAfterSeconds int
@@ -46,7 +50,7 @@
 
 // Limiter checks requests against this daemon's shares.
 type Limiter struct {
-	// Nodes returns the daemons that share the limits.
+	// Nodes returns the numbers of daemons that share the limits.
 	Nodes func() Nodes
 
 	mutex    sync.Mutex
@@ -58,18 +62,18 @@
 	periods int
 }
 
-// table finds the subjects of a team under one configuration.
+// table maps each team of one configuration to the subjects whose limits apply to it.
 type table struct {
 	index *inventory.Index
 	teams map[inventory.TeamRef]teamSubjects
 }
 
-// teamSubjects are nil where there is no limit.
+// teamSubjects holds the subjects of one team; a field is nil if the configuration sets no limit.
 type teamSubjects struct {
 	organisation, team *subject
 }
 
-// NewLimiter returns a limiter of a single daemon until Nodes is set.
+// NewLimiter returns a limiter that applies whole limits, as the only daemon, until Nodes is set.
 func NewLimiter() *Limiter {
 	return &Limiter{Nodes: func() Nodes { return Nodes{Live: 1, All: 1} }, subjects: map[string]*subject{}}
 }
@@ -79,13 +83,13 @@
 	subjects teamSubjects
 }
 
-// Release ends the request.
+// Release takes the ended request out of the concurrent requests of its team and organisation.
 func (pmt Permit) Release() {
 	pmt.subjects.organisation.finish()
 	pmt.subjects.team.finish()
 }
 
-// Acquire admits a request or says which limit it would exceed.
+// Acquire admits a request or returns a denial with the limit that it would exceed.
 func (lim *Limiter) Acquire(now time.Time, idx *inventory.Index, ref inventory.TeamRef) (Permit, *Denial) {
 	sub := lim.lookUp(now, idx).teams[ref]
 	if den := sub.team.start(now); den != nil {
@@ -104,7 +108,7 @@
 	}
 	lim.mutex.Lock()
 	defer lim.mutex.Unlock()
-	// Another request may have built the table meanwhile.
+	// Another request may have built the table while this one waited for the mutex.
 	if tab := lim.table.Load(); tab != nil && tab.index == idx {
 		return tab
 	}
@@ -147,37 +151,39 @@
 	share   Share
 	expires time.Time
 	bucket  *rate.Limiter
-	// static admits the daemon's static share; what it does not admit is worth a report to the owner.
+	// static detects demand beyond the daemon's static share, which is reported to the owner. It refuses no request.
 	static   *rate.Limiter
 	inFlight int
-	// demand counts from since, the time of the last report or the beginning of the period.
+	// demand covers the time from since, which is the last report or the last end of a period that needed no report.
 	demand demand
 	since  time.Time
-	// unused counts reports without requests.
-	unused int
-	// owner granted the share; it wants the next report when due and has heard of the demand reported (requests/s).
-	// The subject was calm then if the owner saw it far from its limit.
-	owner    string
-	due      time.Time
-	reported float64
-	calm     bool
+	// idleReports is the number of consecutive reports without demand.
+	idleReports int
+	// owner is the incarnation that granted the share, empty without a share or when the organisation has a new owner.
+	// The next report is due at the time in due; reportedRate (requests/s) is the demand in the last one.
+	// grantedBelowLimit is true if the reply asked for the rare reports of organisations that are not near their limit.
+	owner             string
+	due               time.Time
+	reportedRate      float64
+	grantedBelowLimit bool
 }
 
-// demand counts what callers asked for.
+// demand counts the requests of callers, admitted and refused.
 type demand struct {
 	requests int
-	peak     int
-	// full counts the refusals for concurrency; refused is true after any refusal and beyond after any request
-	// beyond the static share.
-	full            int
-	refused, beyond bool
+	// peak is the largest number of requests in flight at once.
+	peak int
+	// concurrencyRefusals counts the refusals for concurrency; refused is true after a refusal of any kind and
+	// beyondStatic after a request beyond the static share.
+	concurrencyRefusals   int
+	refused, beyondStatic bool
 }
 
 func newSubject(name string) *subject {
 	return &subject{name: name, bucket: rate.NewLimiter(rate.Inf, 0), static: rate.NewLimiter(rate.Inf, 0)}
 }
 
-// configure takes in the limits of a new configuration; a held share is kept within them.
+// configure applies the limits of a new configuration. If they differ, the default share replaces a granted one.
 func (sub *subject) configure(now time.Time, limits inventory.Limits, nodes Nodes) {
 	sub.mutex.Lock()
 	defer sub.mutex.Unlock()
@@ -185,36 +191,38 @@
 		return
 	}
 	sub.limits = limits
-	// The owner grants shares of the new limits within one period.
-	sub.withoutShare(now, nodes, false)
+	// A share of the old limits must not outlast them; the owner grants one of the new limits on the next report.
+	sub.applyDefaultShare(now, nodes, false)
 }
 
-// withoutShare puts in force what holds without a share from the owner; the caller holds the mutex.
-func (sub *subject) withoutShare(now time.Time, nodes Nodes, over bool) {
+// applyDefaultShare applies the share of a daemon to which the owner has granted none: the static share if the
+// organisation is over its limit, otherwise the overcommitted one. The caller holds the mutex.
+func (sub *subject) applyDefaultShare(now time.Time, nodes Nodes, over bool) {
 	share := StaticShare(sub.limits, nodes.All)
 	sub.static = sub.resize(now, sub.static, share.Rate, false)
 	if !over {
-		share = OpenShare(sub.limits, nodes)
+		share = OvercommittedShare(sub.limits, nodes)
 	}
 	sub.owner = ""
 	sub.set(now, share, false, time.Time{})
 }
 
-// set puts a share in force; the caller holds the mutex.
-func (sub *subject) set(now time.Time, share Share, full bool, expires time.Time) {
+// set applies a share; the caller holds the mutex.
+func (sub *subject) set(now time.Time, share Share, overLimit bool, expires time.Time) {
 	sub.share, sub.expires = share, expires
-	sub.bucket = sub.resize(now, sub.bucket, share.Rate, full)
+	sub.bucket = sub.resize(now, sub.bucket, share.Rate, overLimit)
 }
 
-// resize gives a bucket a rate under this subject's limits, and keeps what it holds within its burst.
-// If daemons want more than the full limit there is no burst beyond a second of the share, as 400 bursts are many.
-func (sub *subject) resize(now time.Time, bucket *rate.Limiter, perSecond float64, full bool) *rate.Limiter {
+// resize sets a bucket's rate and burst; the bucket keeps its tokens up to the new burst.
+// If the organisation is over its limit, the burst is one second of the share without the minimum of minBurst,
+// because the minimum bursts of 400 daemons together exceed a limit by far.
+func (sub *subject) resize(now time.Time, bucket *rate.Limiter, perSecond float64, overLimit bool) *rate.Limiter {
 	limit := sub.limits.RequestsPerSecond
 	if limit == 0 {
 		return rate.NewLimiter(rate.Inf, 0)
 	}
 	smallest := min(minBurst, int(math.Ceil(limit*minBurst)))
-	if full {
+	if overLimit {
 		smallest = 1
 	}
 	burst := max(smallest, int(math.Ceil(perSecond)))
@@ -239,10 +247,10 @@
 	}
 	sub.demand.requests++
 	if !sub.static.AllowN(now, 1) {
-		sub.demand.beyond = true
+		sub.demand.beyondStatic = true
 	}
 	if sub.limits.Concurrent > 0 && sub.inFlight >= sub.share.Concurrent {
-		sub.demand.full++
+		sub.demand.concurrencyRefusals++
 		sub.demand.refused = true
 		return &Denial{Reason: fmt.Sprintf("%s has its share of %d concurrent requests in flight", sub.name, sub.share.Concurrent), RetryAfterSeconds: 1}
 	}
@@ -271,9 +279,9 @@
 	return min(max(int(math.Ceil(1/perSecond)), 1), maxRetryAfterSeconds)
 }
 
-// StaticShare is a daemon's part of a limit while it has none from the owner.
-// Where there are more daemons than concurrent requests each allows two of them, or one if the limit is one,
-// so that a small limit does not lock out a daemon's callers.
+// StaticShare is a daemon's equal part of a limit, which needs no grant from the owner.
+// If there are more daemons than concurrent requests, each daemon allows two of them, or one if the limit is one,
+// so that a small limit does not refuse all callers of a daemon.
 func StaticShare(limits inventory.Limits, nodes int) Share {
 	nodes = max(nodes, 1)
 	concurrent := (limits.Concurrent + nodes - 1) / nodes
@@ -283,12 +291,13 @@
 	return Share{Rate: limits.RequestsPerSecond / float64(nodes), Concurrent: concurrent}
 }
 
-// OpenShare is a daemon's part of a limit while its owner does not see the organisation near its limit.
-func OpenShare(limits inventory.Limits, nodes Nodes) Share {
+// OvercommittedShare is a daemon's part of a limit while the owner does not see the organisation near its limit.
+// In a large deployment without a partition it is a multiple of the static share.
+func OvercommittedShare(limits inventory.Limits, nodes Nodes) Share {
 	share := StaticShare(limits, nodes.All)
-	if nodes.open() {
-		share.Rate *= openFactor
-		share.Concurrent = max(share.Concurrent, (openFactor*limits.Concurrent+nodes.All-1)/nodes.All)
+	if nodes.mayOvercommit() {
+		share.Rate *= overcommitFactor
+		share.Concurrent = max(share.Concurrent, (overcommitFactor*limits.Concurrent+nodes.All-1)/nodes.All)
 	}
 	return share
 }
--- a/limit/scale_test.go
+++ b/limit/scale_test.go
@@ -20,75 +20,77 @@
 
 const (
 	lengthBytes    = 2  // the codec writes the length of a message before it
-	nodeRate       = 25 // requests/s a node
+	nodeRate       = 25 // requests/s for each node
 	meanDuration   = 5 * time.Second
 	simulatedStep  = 100 * time.Millisecond
 	simulatedCalm  = 60 * time.Second
 	simulatedFlood = 120 * time.Second
 )
 
-// network is a set of daemons in simulated time with in-memory calls and gossip of organisations over their limit.
+// network is a set of daemons in simulated time that call each other in memory and gossip the organisations over
+// their limit.
 type network struct {
-	now    time.Time
-	rnd    *rand.Rand
-	idx    *inventory.Index
-	agents []*Agent
-	tables []*membership.Table
-	bytes  []atomic.Int64
-	mutex  sync.Mutex // for the tables while daemons announce
-	busy   flights
+	now     time.Time
+	rnd     *rand.Rand
+	idx     *inventory.Index
+	agents  []*Agent
+	tables  []*membership.Table
+	bytes   []atomic.Int64
+	mutex   sync.Mutex // guards tables while daemons announce organisations
+	running requestHeap
 
-	organisations []inventory.Organisation
-	refs          []inventory.TeamRef
-	asked, passed []float64
+	organisations       []inventory.Organisation
+	refs                []inventory.TeamRef
+	requested, admitted []float64
 }
 
-type flight struct {
+type runningRequest struct {
 	end    time.Time
 	permit Permit
 }
 
-type flights []flight
+type requestHeap []runningRequest
 
-func (fls flights) Len() int               { return len(fls) }
-func (fls flights) Less(one, two int) bool { return fls[one].end.Before(fls[two].end) }
-func (fls flights) Swap(one, two int)      { fls[one], fls[two] = fls[two], fls[one] }
-func (fls *flights) Push(item any)         { *fls = append(*fls, item.(flight)) }
-func (fls *flights) Pop() any {
-	last := (*fls)[len(*fls)-1]
-	*fls = (*fls)[:len(*fls)-1]
+func (rhp requestHeap) Len() int               { return len(rhp) }
+func (rhp requestHeap) Less(one, two int) bool { return rhp[one].end.Before(rhp[two].end) }
+func (rhp requestHeap) Swap(one, two int)      { rhp[one], rhp[two] = rhp[two], rhp[one] }
+func (rhp *requestHeap) Push(item any)         { *rhp = append(*rhp, item.(runningRequest)) }
+func (rhp *requestHeap) Pop() any {
+	last := (*rhp)[len(*rhp)-1]
+	*rhp = (*rhp)[:len(*rhp)-1]
 	return last
 }
 
 func (net *network) clock() time.Time { return net.now }
 
-// from is a daemon as a caller of others.
-type from struct {
+// nodeCaller is the Caller of one node; it calls the agents of other nodes and counts the bytes of both sides.
+type nodeCaller struct {
 	net  *network
 	node int
 }
 
-func (frm from) Call(_ context.Context, address, method string, params, result any) error {
+func (ncl nodeCaller) Call(_ context.Context, address, method string, params, result any) error {
 	id := jsonrpc2.ID{Num: 10_000}
 	var to int
 	_, _ = fmt.Sscan(address, &to)
 	sent, _ := json.Marshal(params)
 	raw := json.RawMessage(sent)
 	request, _ := json.Marshal(&jsonrpc2.Request{Method: method, Params: &raw, ID: id})
-	answer, err := frm.net.agents[to].handle(frm.net.now, sent)
+	answer, err := ncl.net.agents[to].handle(ncl.net.now, sent)
 	if err != nil {
 		return err
 	}
 	received, _ := json.Marshal(answer)
 	raw = json.RawMessage(received)
 	response, _ := json.Marshal(&jsonrpc2.Response{ID: id, Result: &raw})
-	for _, node := range []int{frm.node, to} {
-		frm.net.bytes[node].Add(int64(len(request) + len(response) + 2*lengthBytes))
+	for _, node := range []int{ncl.node, to} {
+		ncl.net.bytes[node].Add(int64(len(request) + len(response) + 2*lengthBytes))
 	}
 	return json.Unmarshal(received, result)
 }
 
-// newNetwork makes organisations with demand by rank^-1; a limit is four times the mean demand, at least 1 request/s.
+// newNetwork makes organisations whose demand is proportional to 1/rank. Each limit is four times the organisation's
+// mean demand, at least 1 request/s. The second result is the demands in requests/s.
 func newNetwork(nodes, organisations int) (*network, []float64) {
 	net := &network{now: begin, rnd: rand.New(rand.NewPCG(5, 9)), bytes: make([]atomic.Int64, nodes)}
 	weights := make([]float64, organisations)
@@ -116,7 +118,7 @@
 		members = append(members, membership.Member{Incarnation: incarnation, Address: fmt.Sprint(i), State: membership.StateLive})
 		tab := membership.NewTable(net.now, members[i])
 		agt := NewAgent(incarnation)
-		agt.Peers = from{net, i}
+		agt.Peers = nodeCaller{net, i}
 		agt.View = func() View {
 			return View{Configuration: cfg, Members: members, Over: func(organisation string) bool { return tab.IsOver(net.now, organisation) }}
 		}
@@ -129,11 +131,12 @@
 		}
 		net.agents, net.tables = append(net.agents, agt), append(net.tables, tab)
 	}
-	net.asked, net.passed = make([]float64, organisations), make([]float64, organisations)
+	net.requested, net.admitted = make([]float64, organisations), make([]float64, organisations)
 	return net, weights
 }
 
-// node chooses a daemon: half of an organisation's requests go to a twentieth of the daemons if balancing is uneven.
+// node returns the daemon that receives a request. If balancing is uneven, half of an organisation's requests go to
+// a twentieth of the daemons.
 func (net *network) node(organisation int, uneven bool) int {
 	count := len(net.agents)
 	if home := max(1, count/20); uneven && net.rnd.IntN(2) == 0 {
@@ -144,19 +147,19 @@
 
 func (net *network) request(organisation int, uneven bool) {
 	agt := net.agents[net.node(organisation, uneven)]
-	net.asked[organisation]++
+	net.requested[organisation]++
 	if permit, denial := agt.Limiter.Acquire(net.now, net.idx, net.refs[organisation]); denial == nil {
-		net.passed[organisation]++
-		lasts := time.Duration(net.rnd.ExpFloat64() * float64(meanDuration))
-		heap.Push(&net.busy, flight{net.now.Add(lasts), permit})
+		net.admitted[organisation]++
+		duration := time.Duration(net.rnd.ExpFloat64() * float64(meanDuration))
+		heap.Push(&net.running, runningRequest{net.now.Add(duration), permit})
 	}
 }
 
-// step offers each organisation its rate for one step, then lets a part of the daemons exchange.
+// step sends each organisation's requests of one step, then runs the exchange and gossip of the daemons that are due.
 func (net *network) step(number int, rates []float64, uneven bool) {
 	net.now = net.now.Add(simulatedStep)
-	for len(net.busy) > 0 && net.busy[0].end.Before(net.now) {
-		heap.Pop(&net.busy).(flight).permit.Release()
+	for len(net.running) > 0 && net.running[0].end.Before(net.now) {
+		heap.Pop(&net.running).(runningRequest).permit.Release()
 	}
 	for organisation, perSecond := range rates {
 		// Exponential gaps make the arrivals random.
@@ -178,7 +181,8 @@
 	}
 }
 
-// gossip sends what a message says of limits; its other parts are measured in membership.
+// gossip sends the part of a gossip message with the organisations over their limit and counts its bytes; the other
+// parts are measured in package membership.
 func (net *network) gossip(one, other int) {
 	net.tables[one].Tick(net.now)
 	msg := net.tables[one].Message(net.now, net.rnd, "", false)
@@ -192,7 +196,7 @@
 	}
 }
 
-// traffic returns the mean and the largest bytes a node since the last call.
+// traffic returns the mean and the largest bytes/s of a node since the last call.
 func (net *network) traffic(dur time.Duration) (mean, largest float64) {
 	for i := range net.bytes {
 		perSecond := float64(net.bytes[i].Swap(0)) / dur.Seconds()
@@ -202,7 +206,8 @@
 	return mean, largest
 }
 
-// Guards against limits that cost more than their part of a node's 2 KB/s, and against a flood that is not held.
+// Guards against messages about limits that take more than their part of a node's budget of 2 KB/s, and against an
+// organisation that still exceeds its limit some time after a flood began.
 func TestNetworkStaysInBudget(t *testing.T) {
 	const budget, heldWithin = 300, 20
 	res := simulate(24, 372, true)
@@ -212,8 +217,9 @@
 	}
 }
 
-// BenchmarkNetwork reports what limits cost and how they hold: a calm minute is measured after one to settle, then one
-// organisation in a thousand (at least one) sends ten times its limit for two minutes.
+// BenchmarkNetwork reports the bytes that limits cost and how well the limits are kept. It measures one calm minute,
+// without demand over a limit, after a first one to settle; then one organisation in a thousand (at least one) sends
+// ten times its limit for two minutes.
 func BenchmarkNetwork(b *testing.B) {
 	for _, size := range [][2]int{{8, 10}, {8, 124}, {50, 775}, {200, 3100}, {400, 6200}} {
 		for name, uneven := range map[string]bool{"even": false, "uneven": true} {
@@ -233,16 +239,17 @@
 	}
 }
 
-// results are bytes/s a node, sent and received, mean and largest, and what organisations got.
+// results holds the bytes/s of a node, sent and received, as the mean and the largest of all nodes, and the part of
+// the requests that was admitted.
 type results struct {
 	calmBytes, calmLargest, floodBytes, floodLargest float64
-	// calmRefused is the percentage of refused requests before the flood, though no demand exceeds its limit.
+	// calmRefused is the percentage of requests that were refused before the flood, when no demand exceeds a limit.
 	calmRefused float64
-	// heldAfter is the time in seconds from which ten seconds of the flood stay within 1.1 of its limit.
+	// heldAfter is the time in seconds after which every ten seconds of the flood stay within 1.1 of its limit.
 	heldAfter float64
-	// excess counts the requests beyond the limit for each daemon and flooding organisation.
+	// excess is the number of requests admitted beyond the limit, per daemon and flooding organisation.
 	excess float64
-	// first and last are the admitted parts of the limit in the first ten seconds and the last minute.
+	// first and last are the admitted requests as a fraction of the limit in the first ten seconds and the last minute.
 	first, last float64
 }
 
@@ -250,8 +257,8 @@
 	net, rates := newNetwork(nodes, organisations)
 	number := 0
 	run := func(dur time.Duration) {
-		clear(net.asked)
-		clear(net.passed)
+		clear(net.requested)
+		clear(net.admitted)
 		for range int(dur / simulatedStep) {
 			net.step(number, rates, uneven)
 			number++
@@ -261,7 +268,7 @@
 	net.traffic(simulatedCalm)
 	run(simulatedCalm)
 	res.calmBytes, res.calmLargest = net.traffic(simulatedCalm)
-	res.calmRefused = 100 * (1 - total(net.passed)/total(net.asked))
+	res.calmRefused = 100 * (1 - total(net.admitted)/total(net.requested))
 	var floods []int
 	for i := range max(1, organisations/1000) {
 		floods = append(floods, organisations/20+i*3)
@@ -270,13 +277,13 @@
 	const window = 10 * time.Second
 	for at := window; at <= simulatedFlood; at += window {
 		run(window)
-		var passed, limit float64
+		var admitted, limit float64
 		for _, i := range floods {
-			passed += net.passed[i]
+			admitted += net.admitted[i]
 			limit += net.organisations[i].Limits.RequestsPerSecond * window.Seconds()
 		}
-		part := passed / limit
-		res.excess += max(0, passed-limit) / float64(nodes*len(floods))
+		part := admitted / limit
+		res.excess += max(0, admitted-limit) / float64(nodes*len(floods))
 		if at == window {
 			res.first = part
 		}
