--- a/claim/acquirer.go
+++ b/claim/acquirer.go
@@ -12,24 +12,26 @@
 	"papayacroft/membership"
 )
 
-// The methods that daemons call at each other.
+// The methods by which daemons call each other.
 const (
 	MethodAcquire = "claim.acquire"
 	MethodResult  = "claim.result"
 )
 
 const (
-	// Timeout bounds the wait for a claim, since a refused ballot is better than a stalled one.
+	// Timeout bounds the wait for a claim, since a request that is refused quickly is better than one that hangs.
 	Timeout = 300 * time.Millisecond
-	// hedgeDelay is the wait for one writer before the next is asked as well; a loaded shard needs about 50 ms.
+	// hedgeDelay is how long one writer may take before the next is asked as well; a loaded shard takes about 50 ms.
 	hedgeDelay = 100 * time.Millisecond
-	// handleTimeout lets a writer answer with an error before its caller's deadline closes their connection.
+	// handleTimeout is shorter than Timeout, so that a writer answers with an error before the calling daemon's deadline
+	// closes the connection between them.
 	handleTimeout = 250 * time.Millisecond
-	// maxWriters is the number of other daemons that are asked before this one writes by itself.
+	// maxWriters is the number of daemons that write a shard. A daemon that is not one of them appends a claim itself
+	// only if they fail or are slow.
 	maxWriters = 2
-	// ResultWait bounds the wait of a second attempt for the first one's answer.
+	// ResultWait bounds the time that a second attempt waits for the answer of the first one.
 	ResultWait = 10 * time.Second
-	// resultMargin is the time for the answer's way back.
+	// resultMargin is added to ResultWait for the transfer of the answer between the daemons.
 	resultMargin    = time.Second
 	refreshInterval = time.Second
 	pruneInterval   = time.Minute
@@ -40,21 +42,21 @@
 	Call(ctx context.Context, address, method string, params, result any) error
 }
 
-// Acquirer claims keys for one daemon incarnation and writes claims for others.
+// Acquirer claims keys for one daemon incarnation, and appends claims to the log for other daemons.
 type Acquirer struct {
 	Log      Log
 	Claimant string
 	// Address is where other daemons reach this one.
 	Address string
 	Peers   Caller
-	// Members returns what is known of all daemons.
+	// Members returns the known daemons with their states.
 	Members func() []membership.Member
 	Ledger  *Ledger
 
 	writers []*writer
 }
 
-// NewAcquirer returns an acquirer that knows of no other daemons until Members is set.
+// NewAcquirer returns an acquirer without other daemons; Members and Peers have to be set to reach them.
 func NewAcquirer(log Log, claimant, address string) *Acquirer {
 	acq := &Acquirer{
 		Log: log, Claimant: claimant, Address: address, Ledger: NewLedger(),
@@ -66,8 +68,9 @@
 	return acq
 }
 
-// Acquire claims a key, in place of a given-up claim if replaces is not empty, and returns the claim that holds it.
-// Unless that is a pending claim of this daemon (own), this attempt will never be dispatched.
+// Acquire claims a key and returns the claim that holds it. If replaces is not empty, it is the id of the given-up
+// claim to replace. own is true if the holder is the claim of this call, which is then pending. Otherwise the claim of
+// this call has been given up and is never dispatched.
 func (acq *Acquirer) Acquire(ctx context.Context, key, body, replaces string) (held Claim, own bool, err error) {
 	id := acq.Ledger.Begin(time.Now())
 	clm := Claim{ID: id.String(), Key: key, Body: body, Claimant: acq.Claimant, Address: acq.Address, Replaces: replaces}
@@ -84,8 +87,8 @@
 	err  error
 }
 
-// ask asks one writer after another until one knows the holder. Writers that were asked go on,
-// because ending a call would close a connection that other calls use; copies of a claim are harmless.
+// ask sends the claim to one writer after another until one returns the holder. It does not cancel the calls to the
+// others, because that would close connections that other calls use; copies of a claim on the log have no effect.
 func (acq *Acquirer) ask(ctx context.Context, clm Claim) (Claim, error) {
 	targets := acq.targets(shardOf(clm.Key))
 	replies := make(chan reply, len(targets))
@@ -115,7 +118,7 @@
 		case <-hedge.C:
 			askNext()
 		case <-ctx.Done():
-			return Claim{}, trace.ConnectionProblem(ctx.Err(), "claim of key %s is not settled", clm.Key)
+			return Claim{}, trace.ConnectionProblem(ctx.Err(), "no writer settled the claim of key %s in time", clm.Key)
 		}
 	}
 }
@@ -136,7 +139,7 @@
 	return held, nil
 }
 
-// targets lists the first writers of a shard and, last unless it is among them, this daemon.
+// targets returns the writers of a shard, followed by this daemon unless it is one of them.
 func (acq *Acquirer) targets(shard int) []membership.Member {
 	self := membership.Member{Incarnation: acq.Claimant}
 	order := membership.Rendezvous(acq.Members(), StreamName(shard))
@@ -147,7 +150,7 @@
 	return order
 }
 
-// HandleAcquire writes a claim for another daemon.
+// HandleAcquire appends a claim to the log for another daemon and returns the holder of its key.
 func (acq *Acquirer) HandleAcquire(ctx context.Context, params json.RawMessage) (any, error) {
 	var clm Claim
 	if err := json.Unmarshal(params, &clm); err != nil {
@@ -161,15 +164,16 @@
 	return acq.writers[shardOf(clm.Key)].submit(ctx, clm)
 }
 
-// ResultRequest asks a claimant what became of its claim.
+// ResultRequest asks a daemon for the result of a claim, or hands outcomes over to it.
 type ResultRequest struct {
 	ID       string `json:"id"`
 	Claimant string `json:"claimant"`
-	// HandedOver holds outcomes that a stopping daemon leaves to the one that it calls.
+	// HandedOver holds the outcomes that a stopping daemon hands over to the daemon that it calls.
 	HandedOver []Settled `json:"handedOver,omitempty"`
 }
 
-// HandleResult answers what became of a claim of this daemon, or of one that was handed over to it.
+// HandleResult records the outcomes that are handed over in a request, and answers with the result of a claim of this
+// daemon or of one whose outcome was handed over to it.
 func (acq *Acquirer) HandleResult(ctx context.Context, params json.RawMessage) (any, error) {
 	var req ResultRequest
 	if err := json.Unmarshal(params, &req); err != nil {
@@ -186,16 +190,17 @@
 	return acq.ownResult(ctx, req), nil
 }
 
-// Result asks the claimant of a claim what became of it, and the daemons that it may have left the outcome to.
-// If none of them knows, the outcome is unknown.
+// Result returns the result of a claim. It asks the claimant and the successors to which the claimant may have handed
+// the outcome over; if none of them has it, the state is StateUnknown.
 func (acq *Acquirer) Result(ctx context.Context, clm Claim) Result {
 	req := ResultRequest{ID: clm.ID, Claimant: clm.Claimant}
 	if clm.Claimant == acq.Claimant {
 		return acq.ownResult(ctx, req)
 	}
-	// A VM that is gone may not refuse the connection, which would take the whole wait.
-	first, second := acq.askClaimant, acq.handedOver
-	if !acq.present(clm.Claimant) {
+	// The VM of a daemon that is gone may not refuse the connection; the call would then last until its time-out.
+	// So the successors of such a daemon are asked first.
+	first, second := acq.askClaimant, acq.askSuccessors
+	if !acq.isMember(clm.Claimant) {
 		first, second = second, first
 	}
 	if res := first(ctx, clm.Address, req); res.State != StateUnknown {
@@ -233,7 +238,7 @@
 	return res
 }
 
-// Run keeps the tables of the shards that this daemon writes, or is next to write, up to date.
+// Run keeps the tables of the shards for which this daemon is one of the writers up to date, and prunes all tables.
 func (acq *Acquirer) Run(ctx context.Context) {
 	ticker := time.NewTicker(refreshInterval)
 	defer ticker.Stop()
@@ -260,7 +265,7 @@
 		order := membership.Rendezvous(acq.Members(), wri.stream)
 		order = order[:min(len(order), maxWriters)]
 		if len(order) == 0 || slices.ContainsFunc(order, func(mem membership.Member) bool { return mem.Incarnation == acq.Claimant }) {
-			// A failure is met again, and reported, by the next claim.
+			// The next claim of the shard meets the same failure and reports it.
 			_ = wri.catchUp(0, loadTimeout)
 		}
 	}
--- a/claim/claim.go
+++ b/claim/claim.go
@@ -1,4 +1,5 @@
-// Package claim lets at most one daemon run a request that may not be repeated.
+// Package claim ensures that at most one daemon sends a request that may not be repeated. Before a daemon sends
+// such a request it claims the request's idempotency key on the platform's log; the first claim on the log wins.
 package claim
 
 import (
@@ -17,24 +18,25 @@
 )
 
 const (
-	// Shards is the number of log streams that hold claims; at 500 votes/s 8 streams took 320 appends/s and 4 take 189
-	// with the same p99. Daemons that disagree about it would let a key be claimed twice.
+	// Shards is the number of log streams that hold claims. At 500 claims/s 8 streams took 320 appends/s and 4 take
+	// 189 with the same p99 latency. Daemons with different numbers would let a key be claimed twice, on two streams.
 	Shards = 4
-	// KeyLifetime is the age beyond which a key is refused on a log that keeps records long enough.
+	// KeyLifetime is the age beyond which a key is refused if the log's retention is long enough; see Lifetime.
 	KeyLifetime = time.Hour
-	// maxKeyLead is how far in the future a key's time may lie.
+	// maxKeyLead is how far in the future a key's creation time may lie.
 	maxKeyLead = 5 * time.Second
 )
 
-// Claim says which daemon incarnation may run the request with a key.
+// Claim is a daemon incarnation's claim to send the request with a key. Key and Body are the digests that KeyDigest
+// and BodyDigest return.
 type Claim struct {
 	ID   string `json:"id"`
 	Key  string `json:"key"`
 	Body string `json:"body"`
-	// Claimant is the daemon's incarnation and Address its address for peers.
+	// Claimant is the daemon's incarnation and Address the address at which other daemons call it.
 	Claimant string `json:"claimant"`
 	Address  string `json:"address"`
-	// Replaces is the id of a claim whose claimant has said that it never runs the request.
+	// Replaces is the id of a given-up claim, whose claimant has confirmed that it never sends the request.
 	Replaces string `json:"replaces,omitempty"`
 }
 
@@ -82,13 +84,13 @@
 	return nil
 }
 
-// KeyDigest identifies a key of a team.
+// KeyDigest returns the digest of a team's idempotency key.
 func KeyDigest(team inventory.TeamRef, key string) string {
 	sum := sha256.Sum256([]byte(team.String() + "\x00" + key))
 	return hex.EncodeToString(sum[:16])
 }
 
-// BodyDigest identifies a request's content.
+// BodyDigest returns the digest of a request's content.
 func BodyDigest(method, path string, body []byte) string {
 	sum := sha256.New()
 	fmt.Fprintf(sum, "%s\x00%s\x00", method, path)
@@ -96,12 +98,12 @@
 	return hex.EncodeToString(sum.Sum(nil)[:8])
 }
 
-// StreamName names the stream of a shard.
+// StreamName returns the name of a shard's stream.
 func StreamName(shard int) string {
 	return fmt.Sprintf("claims-%d", shard)
 }
 
-// ShardStream names the stream that holds a key's claims.
+// ShardStream returns the name of the stream that holds a key's claims.
 func ShardStream(key string) string {
 	return StreamName(shardOf(key))
 }
@@ -131,7 +133,8 @@
 )
 
 // Lifetime returns the age beyond which a key is refused, given the time for which the log keeps a record.
-// It leaves the margin for clocks that tables leave, so that a claim outlives its key.
+// It is KeyLifetime, or less if the retention is short: tableLifetime's margin for clock differences is subtracted
+// from the retention, so that a claim stays on the log until its key has expired.
 func Lifetime(retention time.Duration) time.Duration {
 	return max(0, min(KeyLifetime, retention-(tableLifetime-KeyLifetime)))
 }
--- a/claim/claim_fuzz_test.go
+++ b/claim/claim_fuzz_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-// FuzzParseRecord guards against claim records that crash a daemon, or that only some daemons can read.
+// FuzzParseRecord guards against claim records that make a daemon panic, and against records that change when they
+// are parsed and serialized again.
 func FuzzParseRecord(f *testing.F) {
 	for _, seed := range []string{
 		`{"claims":[{"id":"4d1f4f80-7ad5-4c2f-9b1f-6d5f5f6d1d10","key":"00112233445566778899aabbccddeeff","body":"0011223344556677","claimant":"c","address":"127.0.0.1:1"}]}`,
--- a/claim/handover.go
+++ b/claim/handover.go
@@ -12,27 +12,29 @@
 )
 
 const (
-	// successors is the number of daemons that are given each outcome; a second one covers the loss of the first.
+	// successors is the number of daemons that receive each outcome; the second covers the loss of the first.
 	successors = 2
-	// maxAskedSuccessors allows for a daemon that joined after the outcome was handed over.
+	// maxAskedSuccessors is the number of daemons that are asked for an outcome. It is one more than successors, as
+	// a daemon that joined after the outcome was handed over may now be among the first in the order.
 	maxAskedSuccessors = 3
-	// successorTimeout bounds the question to one successor.
+	// successorTimeout bounds one call to a successor.
 	successorTimeout = time.Second
-	// maxMessageBytes bounds one message unless a single answer is longer.
+	// maxMessageBytes is the size of the collected outcomes at which they are sent; the last one may exceed it.
 	maxMessageBytes = 64 << 10
-	// maxHandedGivenUp bounds the given-up ids that are handed over, of about 120 bytes each, newest first.
+	// maxHandedGivenUp bounds the ids of given-up claims that are handed over, about 120 bytes each; the newest are
+	// handed over.
 	maxHandedGivenUp = 1000
 )
 
-// Settled is the final outcome of a claim on its way to another daemon.
+// Settled is the final outcome of a claim, as it is handed over to another daemon.
 type Settled struct {
 	ID       string `json:"id"`
 	Claimant string `json:"claimant"`
 	Result   Result `json:"result"`
 }
 
-// HandOver gives the outcomes that this daemon keeps to other daemons, newest first, and returns how many
-// outcomes reached at least one of them before the context ended.
+// HandOver sends the outcomes that this daemon keeps to their successors, newest first, and returns how many outcomes
+// reached at least one of them before the context ended. A daemon calls it when it stops.
 func (acq *Acquirer) HandOver(ctx context.Context) int {
 	reached, failed := map[string]bool{}, map[string]bool{}
 	batches := map[string][]Settled{}
@@ -41,8 +43,8 @@
 		batch := batches[address]
 		delete(batches, address)
 		delete(sizes, address)
-		// A daemon that does not answer must not use up the time for the others.
-		if failed[address] || acq.leave(ctx, address, batch) != nil {
+		// After a failed call a daemon is not called again: the time-outs would leave no time for the other daemons.
+		if failed[address] || acq.sendOutcomes(ctx, address, batch) != nil {
 			failed[address] = true
 			return
 		}
@@ -53,7 +55,7 @@
 	for _, stl := range acq.Ledger.settled(acq.Claimant) {
 		for _, mem := range acq.successors(stl.ID, acq.Claimant, successors) {
 			batches[mem.Address] = append(batches[mem.Address], stl)
-			sizes[mem.Address] += len(stl.Result.Body) + outcomeOverhead
+			sizes[mem.Address] += len(stl.Result.Body) + outcomeOverheadBytes
 			if sizes[mem.Address] >= maxMessageBytes {
 				send(mem.Address)
 			}
@@ -65,22 +67,23 @@
 	return len(reached)
 }
 
-func (acq *Acquirer) leave(ctx context.Context, address string, batch []Settled) error {
+func (acq *Acquirer) sendOutcomes(ctx context.Context, address string, batch []Settled) error {
 	ctx, cancel := context.WithTimeout(ctx, successorTimeout)
 	defer cancel()
 	var res Result
 	return trace.Wrap(acq.Peers.Call(ctx, address, MethodResult, ResultRequest{Claimant: acq.Claimant, HandedOver: batch}, &res))
 }
 
-// successors lists the live daemons that are given the outcome of a claim, which all daemons with the same members agree on.
+// successors returns the live daemons that receive the outcome of a claim, by rendezvous hashing. All daemons with the
+// same list of members compute the same successors.
 func (acq *Acquirer) successors(id, claimant string, count int) []membership.Member {
 	order := membership.Rendezvous(acq.Members(), id)
 	order = slices.DeleteFunc(order, func(mem membership.Member) bool { return mem.Incarnation == claimant })
 	return order[:min(len(order), count)]
 }
 
-// handedOver asks the daemons that may have been given a claim's outcome.
-func (acq *Acquirer) handedOver(ctx context.Context, _ string, req ResultRequest) Result {
+// askSuccessors returns a claim's outcome if this daemon or one of the claim's successors has received it.
+func (acq *Acquirer) askSuccessors(ctx context.Context, _ string, req ResultRequest) Result {
 	if res := acq.Ledger.inherited(req.ID, req.Claimant); res.State != StateUnknown {
 		return res
 	}
@@ -99,14 +102,15 @@
 	return Result{State: StateUnknown}
 }
 
-// present reports whether a claimant is a daemon that is not known to be gone.
-func (acq *Acquirer) present(claimant string) bool {
+// isMember reports whether a claimant is in the list of members and not gone.
+func (acq *Acquirer) isMember(claimant string) bool {
 	return slices.ContainsFunc(acq.Members(), func(mem membership.Member) bool {
 		return mem.Incarnation == claimant && mem.State != membership.StateGone
 	})
 }
 
-// settled returns the final outcomes that the ledger keeps, newest first, answers before given-up ids.
+// settled returns the final outcomes that the ledger keeps, newest first, answers before given-up claims; own is the
+// claimant of this daemon's claims.
 func (led *Ledger) settled(own string) []Settled {
 	led.mutex.Lock()
 	defer led.mutex.Unlock()
@@ -129,7 +133,7 @@
 	return outcomes
 }
 
-// Inherit keeps the outcome of another daemon's claim.
+// Inherit records an outcome that another daemon handed over. It ignores an outcome of a claim that it has already.
 func (led *Ledger) Inherit(now time.Time, stl Settled) error {
 	id, err := uuid.Parse(stl.ID)
 	final := stl.Result.State == StateAnswered || stl.Result.State == StateGivenUp
@@ -146,7 +150,7 @@
 	return nil
 }
 
-// inherited returns the outcome that a former claimant handed over.
+// inherited returns the outcome of a claim that its claimant handed over, or StateUnknown.
 func (led *Ledger) inherited(id, claimant string) Result {
 	parsed, err := uuid.Parse(id)
 	led.mutex.Lock()
--- a/claim/handover_test.go
+++ b/claim/handover_test.go
@@ -11,8 +11,9 @@
 	"papayacroft/membership"
 )
 
-// replace hands a daemon's outcomes over, makes it gone for the others and puts another incarnation at its address.
-func replace(t *testing.T, nodes []*Acquirer, number int) {
+// handOverAndRestart hands a daemon's outcomes over, marks the daemon as gone on all nodes and starts another
+// incarnation at its address.
+func handOverAndRestart(t *testing.T, nodes []*Acquirer, number int) {
 	t.Helper()
 	if got := nodes[number].HandOver(t.Context()); got != 2 {
 		t.Errorf("got %d outcomes handed over; want 2", got)
@@ -25,7 +26,8 @@
 	nodes[number].Claimant, nodes[number].Ledger = "restarted", NewLedger()
 }
 
-// checkOutcome checks what a daemon learns of a claim, and that it takes it for no other claimant's.
+// checkOutcome checks the state that a daemon finds for a claim, and that the claim's id with another claimant is
+// unknown.
 func checkOutcome(t *testing.T, acq *Acquirer, clm Claim, want State) {
 	t.Helper()
 	got := acq.Result(t.Context(), clm)
@@ -38,8 +40,8 @@
 	}
 }
 
-// Guards against outcomes that are lost with the daemon that ran the call, and against an outcome that is
-// handed over before it is final, or taken for another claimant's.
+// Guards against outcomes that are lost when the claimant, and then one of its successors, stops, and against an outcome
+// that is handed over before it is final or is returned for another claimant's claim.
 func TestHandOver(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		nodes := newNodes(newFakeLog(), true)
@@ -54,14 +56,14 @@
 		}
 		one.Ledger.Finish(time.Now(), uuid.MustParse(claims[StateAnswered].ID), Result{State: StateAnswered, Status: 200, Body: []byte("yes")})
 		one.Ledger.GiveUp(time.Now(), uuid.MustParse(claims[StateGivenUp].ID))
-		replace(t, nodes, 0)
-		replace(t, nodes, 1)
+		handOverAndRestart(t, nodes, 0)
+		handOverAndRestart(t, nodes, 1)
 		checkOutcome(t, nodes[2], claims[StateAnswered], StateAnswered)
 		checkOutcome(t, nodes[2], claims[StateGivenUp], StateGivenUp)
 		checkOutcome(t, nodes[2], claims[StateDispatched], StateUnknown)
 		checkOutcome(t, nodes[2], claims[StatePending], StateUnknown)
 		if nodes[2].Ledger.Inherit(time.Now(), Settled{ID: uuid.NewString(), Claimant: "x", Result: Result{State: StateDispatched}}) == nil {
-			t.Error("got an outcome taken in that is not final")
+			t.Error("got no error for an outcome that is not final; want it rejected")
 		}
 	})
 }
--- a/claim/history_test.go
+++ b/claim/history_test.go
@@ -18,7 +18,8 @@
 	"papayacroft/provider"
 )
 
-// fakeLog is a log that loses answers, lets appends take effect late, is slow or down, and expires records.
+// fakeLog is a log that, depending on its mode, is down or slow, loses the answers to appends or lets appends take
+// effect after their deadline. It can also remove expired records.
 type fakeLog struct {
 	mutex   sync.Mutex
 	mode    string
@@ -91,11 +92,11 @@
 	return provider.Batch{First: first, Next: first + int64(len(records)), Records: slices.Clone(records[start:])}, nil
 }
 
-// fakeMesh carries calls between acquirers in one process; lost calls reach the peer but their answers do not return.
+// fakeMesh connects the acquirers of one process. While it is lossy, calls reach the peer but their answers are lost.
 type fakeMesh struct {
 	mutex sync.Mutex
 	lossy bool
-	// frozen names a daemon that takes calls but does nothing.
+	// frozen is the address of a daemon that accepts calls but never handles them.
 	frozen string
 	nodes  map[string]*Acquirer
 }
@@ -131,7 +132,7 @@
 	return json.Unmarshal(data, result)
 }
 
-// history notes what attempts did.
+// history records the outcomes of attempts and the faults that they showed.
 type history struct {
 	mutex      sync.Mutex
 	dispatched map[string][]string
@@ -146,9 +147,9 @@
 }
 
 type attempt struct {
-	node, key      int
-	start, pause   time.Duration
-	leaves, failed bool
+	node, key                   int
+	start, pause                time.Duration
+	callerCancels, dialsRefused bool
 }
 
 type fault struct {
@@ -156,7 +157,7 @@
 	mode string
 }
 
-// run takes an attempt the way that an entry daemon does.
+// run makes an attempt in the same way as package entry.
 func (his *history) run(acq *Acquirer, name string, atm attempt) {
 	replaces := ""
 	left := Timeout
@@ -188,7 +189,7 @@
 func (his *history) dispatch(acq *Acquirer, name string, atm attempt, held Claim) {
 	id := uuid.MustParse(held.ID)
 	time.Sleep(atm.pause)
-	if atm.leaves {
+	if atm.callerCancels {
 		acq.Ledger.GiveUp(time.Now(), id)
 		his.note(func() { his.notRun[name] = true })
 		return
@@ -197,8 +198,8 @@
 		his.note(func() { his.problems = append(his.problems, "a granted claim could not be dispatched") })
 		return
 	}
-	if atm.failed {
-		// All endpoints refused the connection.
+	if atm.dialsRefused {
+		// All endpoints refused the connection, so none can have begun the request.
 		acq.Ledger.GiveUp(time.Now(), id)
 		his.note(func() { his.notRun[name] = true })
 		return
@@ -251,7 +252,7 @@
 			})
 		}
 		wgr.Wait()
-		// Every request and append that is still under way ends before the next script.
+		// All requests and appends in flight end within this time.
 		time.Sleep(5 * time.Second)
 		log.mutex.Lock()
 		defer log.mutex.Unlock()
@@ -266,7 +267,8 @@
 	return his
 }
 
-// check returns the broken promises of a history.
+// check returns the violations of the guarantee that at most one attempt with a key sends its request, and none that
+// reported notRun.
 func (his *history) check() []string {
 	problems := his.problems
 	for key, names := range his.dispatched {
@@ -282,8 +284,8 @@
 	return problems
 }
 
-// Guards against a second dispatch of a key, and a dispatch after notRun, while the log loses answers, is late,
-// slow or down, peers' answers get lost, and several daemons write one shard at once.
+// Guards against a request that is sent twice, or after notRun was reported, because the log loses answers, is slow or
+// down or lets appends take effect late, peers' answers are lost, or several daemons write one shard at once.
 func TestAtMostOneDispatch(t *testing.T) {
 	millis := func(rt *rapid.T, most int, label string) time.Duration {
 		return time.Duration(rapid.IntRange(0, most).Draw(rt, label)) * time.Millisecond
@@ -294,7 +296,7 @@
 			attempts = append(attempts, attempt{
 				node: rapid.IntRange(0, 2).Draw(rt, "node"), key: rapid.IntRange(0, 1).Draw(rt, "key"),
 				start: millis(rt, 1500, "start"), pause: millis(rt, 700, "pause"),
-				leaves: rapid.Bool().Draw(rt, "leaves"), failed: rapid.Bool().Draw(rt, "failed"),
+				callerCancels: rapid.Bool().Draw(rt, "leaves"), dialsRefused: rapid.Bool().Draw(rt, "failed"),
 			})
 		}
 		var faults []fault
@@ -308,7 +310,8 @@
 	})
 }
 
-// Guards against a key that stays lost after its first claimant was refused and its claim landed late.
+// Guards against a key that no later attempt can use because the claim of a refused attempt was appended late and
+// holds it.
 func TestGivenUpKeyRunsLater(t *testing.T) {
 	for _, agree := range []bool{true, false} {
 		his := replay(t, agree, []attempt{{node: 0, key: 1, start: time.Millisecond}, {node: 1, key: 1, start: 2 * time.Second}},
@@ -319,7 +322,7 @@
 	}
 }
 
-// Guards against one append for each claim: many claims of a moment share few records.
+// Guards against one append for each claim, which would overload the log; claims that arrive together share a record.
 func TestGroupCommit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		log := newFakeLog()
@@ -347,8 +350,8 @@
 	})
 }
 
-// Guards against a fresh writer that grants a key which the retained stream shows as held, and against writers that
-// stop at records which have expired.
+// Guards against a writer that has just started and grants a key that a claim on the stream already holds, and against
+// writers that fail because the records at their next offset have been removed from the log.
 func TestFreshWriterReadsTheStream(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		log := newFakeLog()
@@ -364,7 +367,7 @@
 		time.Sleep(2 * tableLifetime)
 		log.set("expire")
 		for i, acq := range []*Acquirer{first, second, NewAcquirer(log, "three", "three")} {
-			// All keys lie in the shard whose records have expired.
+			// The new key belongs to the shard whose records have expired.
 			other := key
 			for num := 0; ShardStream(other) != ShardStream(key) || other == key; num++ {
 				other = testKey(fmt.Sprint(i, "-", num))
@@ -376,7 +379,7 @@
 	})
 }
 
-// Guards against a shard that nobody can claim on while its writer is frozen or its answers get lost.
+// Guards against a shard whose keys nobody can claim while its first writer does not answer.
 func TestWriterDoesNotAnswer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		nodes := newNodes(newFakeLog(), true)
--- a/claim/ledger.go
+++ b/claim/ledger.go
@@ -8,23 +8,23 @@
 )
 
 const (
-	// answerLifetime is how long the outcome of a dispatched claim is kept.
+	// answerLifetime is how long the outcome of a dispatched claim is kept for second attempts.
 	answerLifetime = 10 * time.Minute
-	// MaxAnswerBytes bounds an answer that is kept for second attempts.
+	// MaxAnswerBytes bounds the body of an answer that is kept for second attempts.
 	MaxAnswerBytes = 64 << 10
-	// maxKeptBytes bounds all kept answers of one daemon; the oldest are forgotten first.
+	// maxKeptBytes bounds all kept answers of one daemon; the oldest are removed first.
 	maxKeptBytes = 16 << 20
-	// maxGivenUp bounds the ids of given-up claims, about 100 bytes each; a forgotten one is unknown.
+	// maxGivenUp bounds the ids of given-up claims, about 100 bytes each; the state of a removed one is StateUnknown.
 	maxGivenUp = 50_000
-	// outcomeOverhead is counted for each kept outcome beside its body.
-	outcomeOverhead = 256
+	// outcomeOverheadBytes is the assumed size of a kept outcome without its body and content type.
+	outcomeOverheadBytes = 256
 )
 
-// State is where a claim of this daemon stands.
+// State is the state of a claim of this daemon.
 type State string
 
-// The states of a claim. A claim leaves pending once, to dispatched or givenUp.
-// It goes from dispatched to givenUp only when no endpoint can have begun the request and none will be tried again.
+// The states of a claim. A claim changes from pending once, to dispatched or givenUp. It changes from dispatched to
+// givenUp only if no endpoint can have begun the request and the request will not be sent to another one.
 const (
 	StateUnknown    State = "unknown"
 	StatePending    State = "pending"
@@ -33,7 +33,7 @@
 	StateAnswered   State = "answered"
 )
 
-// Result is what became of a claim.
+// Result is the state of a claim, with the endpoint's answer if there is one.
 type Result struct {
 	State       State  `json:"state"`
 	Status      int    `json:"status,omitempty"`
@@ -42,7 +42,8 @@
 }
 
 type ledgerEntry struct {
-	result  Result
+	result Result
+	// settled is closed once the result is final.
 	settled chan struct{}
 	// inheritedFrom is the claimant that handed the outcome over, empty for a claim of this daemon.
 	inheritedFrom string
@@ -54,11 +55,11 @@
 	bytes int
 }
 
-// Ledger remembers this daemon's own claims and their outcomes.
+// Ledger records this daemon's claims with their outcomes, and the outcomes that other daemons handed over to it.
 type Ledger struct {
 	mutex   sync.Mutex
 	entries map[uuid.UUID]*ledgerEntry
-	// answered and givenUp are in order of time.
+	// answered and givenUp are the claims with a kept outcome, in the order in which they were settled.
 	answered []settledClaim
 	givenUp  []settledClaim
 	bytes    int
@@ -69,7 +70,7 @@
 	return &Ledger{entries: map[uuid.UUID]*ledgerEntry{}}
 }
 
-// Begin notes a new claim before any other daemon can know of it.
+// Begin records a new claim as pending. It must be called before the claim is sent to another daemon or to the log.
 func (led *Ledger) Begin(now time.Time) uuid.UUID {
 	led.mutex.Lock()
 	defer led.mutex.Unlock()
@@ -79,7 +80,8 @@
 	return id
 }
 
-// Dispatch permits the request to be sent; it returns false if the claim is not pending.
+// Dispatch marks a pending claim as dispatched, after which its request may be sent. It returns false if the claim is
+// not pending.
 func (led *Ledger) Dispatch(id uuid.UUID) bool {
 	led.mutex.Lock()
 	defer led.mutex.Unlock()
@@ -91,14 +93,15 @@
 	return true
 }
 
-// GiveUp notes for good that the request was not begun under this claim and never will be.
+// GiveUp records that the request was not begun under this claim and never will be. This is final.
 func (led *Ledger) GiveUp(now time.Time, id uuid.UUID) {
 	led.mutex.Lock()
 	defer led.mutex.Unlock()
 	led.keep(now, id, Result{State: StateGivenUp})
 }
 
-// Finish keeps a dispatched claim's outcome, which is StateAnswered or StateUnknown.
+// Finish records a dispatched claim's outcome, which is StateAnswered or StateUnknown. An answer with a larger body
+// than MaxAnswerBytes is not kept; its claim becomes StateUnknown.
 func (led *Ledger) Finish(now time.Time, id uuid.UUID, res Result) {
 	if len(res.Body) > MaxAnswerBytes {
 		res = Result{State: StateUnknown}
@@ -108,7 +111,7 @@
 	led.keep(now, id, res)
 }
 
-// keep settles a claim for its lifetime; the caller holds the mutex.
+// keep settles a claim and keeps its outcome until prune removes it; the caller holds the mutex.
 func (led *Ledger) keep(now time.Time, id uuid.UUID, res Result) {
 	if !led.settle(id, res) {
 		return
@@ -117,13 +120,14 @@
 	if res.State == StateGivenUp {
 		led.givenUp = append(led.givenUp, stl)
 	} else {
-		stl.bytes = len(res.Body) + len(res.ContentType) + outcomeOverhead
+		stl.bytes = len(res.Body) + len(res.ContentType) + outcomeOverheadBytes
 		led.answered = append(led.answered, stl)
 		led.bytes += stl.bytes
 	}
 	led.prune(now)
 }
 
+// settle makes a result final; it returns false if the claim is not known or was settled before.
 func (led *Ledger) settle(id uuid.UUID, res Result) bool {
 	ent, ok := led.entries[id]
 	if !ok || ent.result.State != StatePending && ent.result.State != StateDispatched {
@@ -145,7 +149,7 @@
 	return ent.result, ent.settled
 }
 
-// prune forgets what is too old or too much; the caller holds the mutex.
+// prune removes the outcomes that are too old, and the oldest ones beyond the bounds; the caller holds the mutex.
 func (led *Ledger) prune(now time.Time) {
 	for len(led.givenUp) > 0 && (len(led.givenUp) > maxGivenUp || now.Sub(led.givenUp[0].at) > tableLifetime) {
 		delete(led.entries, led.givenUp[0].id)
--- a/claim/ledger_test.go
+++ b/claim/ledger_test.go
@@ -9,8 +9,8 @@
 	"pgregory.net/rapid"
 )
 
-// Guards against a claim that is dispatched twice or after it was given up, a given-up claim that later counts as
-// run, and kept answers beyond their bound or their lifetime.
+// Guards against a claim that is dispatched twice or after it was given up, and against a given-up claim that later
+// gets another state than unknown.
 func TestLedger(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		led := NewLedger()
@@ -61,7 +61,8 @@
 	}
 }
 
-// Guards against kept answers that fill the daemon's memory.
+// Guards against kept answers that fill the daemon's memory because the oldest are not removed at the byte bound or
+// after their lifetime.
 func TestLedgerBound(t *testing.T) {
 	led := NewLedger()
 	now := time.Unix(1000, 0)
@@ -86,7 +87,8 @@
 	}
 }
 
-// Guards against a second attempt that hears notRun of a claim that its claimant may still send, or that hangs.
+// Guards against a second attempt that gets a final state while the claimant may still send the request, and against
+// one that waits longer than ResultWait.
 func TestResultWaits(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		nodes := newNodes(newFakeLog(), true)
--- a/claim/load_test.go
+++ b/claim/load_test.go
@@ -15,7 +15,7 @@
 )
 
 const (
-	// shardRecords and claimsPerRecord are one shard's claims of 65 min at 500 votes/s.
+	// shardRecords records of claimsPerRecord claims each are one shard's claims of 65 min at 500 votes/s.
 	shardRecords    = 195_000
 	claimsPerRecord = 2
 )
@@ -24,7 +24,7 @@
 	return claim.KeyDigest(inventory.TeamRef{Organisation: "rimu", Team: "members"}, uuid.NewString())
 }
 
-// fillShards puts records with claims on every shard.
+// fillShards appends the same records of claims to every shard.
 func fillShards(tb testing.TB, log *provider.HTTPLog, records int) {
 	tb.Helper()
 	for range records {
@@ -46,7 +46,8 @@
 	}
 }
 
-// BenchmarkFreshWriter measures how long a daemon that has read nothing refuses votes of a full shard.
+// BenchmarkFreshWriter reports how many claims a daemon that has just started refuses, while it reads full shards,
+// before the first one succeeds.
 func BenchmarkFreshWriter(b *testing.B) {
 	server := httptest.NewServer(standin.NewLog(1 << 30).Handler())
 	defer server.Close()
--- a/claim/table.go
+++ b/claim/table.go
@@ -18,7 +18,8 @@
 	bodyDigest [8]byte
 )
 
-// claimant is a daemon incarnation; the table holds each once because claims are many and claimants few.
+// claimant is a daemon incarnation. The table stores each one once and refers to it by index, because there are
+// many claims and few claimants.
 type claimant struct {
 	incarnation, address string
 }
@@ -31,23 +32,24 @@
 	at int64
 }
 
-// Table follows one claim stream: the first claim of a key in offset order holds the key, and only a claim that
-// names the holder in Replaces takes its place.
+// Table holds the claims of one stream: the first claim of a key in offset order holds the key, and only a claim
+// with the holder's id in Replaces replaces it.
 type Table struct {
 	// Next is the offset to read from next.
 	Next int64
 
 	holders   map[keyDigest]heldClaim
 	claimants []claimant
-	numbers   map[claimant]uint32
+	indexes   map[claimant]uint32
 }
 
 // NewTable returns an empty table.
 func NewTable() *Table {
-	return &Table{holders: map[keyDigest]heldClaim{}, numbers: map[claimant]uint32{}}
+	return &Table{holders: map[keyDigest]heldClaim{}, indexes: map[claimant]uint32{}}
 }
 
-// Apply takes in one record; records that were applied before or are too old to matter are passed over.
+// Apply applies one record. It ignores records that were applied before, are older than tableLifetime or are not
+// valid.
 func (tab *Table) Apply(now time.Time, rec provider.Record) {
 	if rec.Offset < tab.Next {
 		return
@@ -73,18 +75,18 @@
 	body, _ := parseDigest[bodyDigest](clm.Body)
 	tab.holders[key] = heldClaim{
 		id: uuid.MustParse(clm.ID), body: body, at: at.Unix(),
-		claimant: tab.number(claimant{clm.Claimant, clm.Address}),
+		claimant: tab.claimantIndex(claimant{clm.Claimant, clm.Address}),
 	}
 }
 
-func (tab *Table) number(cmt claimant) uint32 {
-	num, ok := tab.numbers[cmt]
+func (tab *Table) claimantIndex(cmt claimant) uint32 {
+	idx, ok := tab.indexes[cmt]
 	if !ok {
-		num = uint32(len(tab.claimants)) //nolint:gosec // One entry per daemon incarnation.
+		idx = uint32(len(tab.claimants)) //nolint:gosec // One entry per daemon incarnation.
 		tab.claimants = append(tab.claimants, cmt)
-		tab.numbers[cmt] = num
+		tab.indexes[cmt] = idx
 	}
-	return num
+	return idx
 }
 
 // Holder returns the claim that holds a key.
@@ -104,13 +106,14 @@
 	}, true
 }
 
-// Resolve returns the holder of a claim's key if that settles the claim, won or lost.
+// Resolve returns the holder of a claim's key, and true if the claim has thereby won or lost. It is undecided
+// while the key has no holder, or still has the holder that the claim replaces.
 func (tab *Table) Resolve(clm Claim) (Claim, bool) {
 	held, ok := tab.Holder(clm.Key)
 	return held, ok && held.ID != clm.Replaces
 }
 
-// Prune drops the claims of keys that have expired everywhere.
+// Prune removes the claims of keys that have expired on all VMs.
 func (tab *Table) Prune(now time.Time) {
 	before := now.Add(-tableLifetime).Unix()
 	for key, held := range tab.holders {
--- a/claim/table_test.go
+++ b/claim/table_test.go
@@ -39,7 +39,7 @@
 	return provider.Record{Offset: offset, At: testNow, Body: body}
 }
 
-// Guards against two claims of one key that both count as the winner.
+// Guards against a table that lets two claims of one key win, so that two daemons send the request.
 func TestTable(t *testing.T) {
 	data, err := os.ReadFile("testdata/table.yaml")
 	if err != nil {
@@ -77,7 +77,7 @@
 	}
 }
 
-// holderHistory notes the holders that a key has had.
+// holderHistory records the holders that a key has had.
 type holderHistory struct {
 	former  map[string]bool
 	current string
@@ -93,7 +93,8 @@
 	his.current = held.ID
 }
 
-// drawClaim always gives one id the same key and predecessor, as a copy of a claim has.
+// drawClaim draws a claim in the format of testRecord. Claims with the same id are copies: they have the same key and
+// replace the same claim.
 func drawClaim(rt *rapid.T) (key, text string) {
 	num := rapid.IntRange(1, 12).Draw(rt, "claim")
 	key = fmt.Sprint(num % 2)
@@ -104,9 +105,9 @@
 	return key, text
 }
 
-// Guards against a key that returns to a claim that was replaced, and against writers that disagree
-// because one read records twice or in pieces.
-func TestTableHolderNeverReturns(t *testing.T) {
+// Guards against a replaced claim that becomes the holder of its key again when a copy of it is read, and against
+// tables with different holders because one read the records in pieces or more than once.
+func TestReplacedClaimNeverHoldsAgain(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		whole, pieces := NewTable(), NewTable()
 		histories := map[string]*holderHistory{"0": {former: map[string]bool{}}, "1": {former: map[string]bool{}}}
@@ -136,7 +137,8 @@
 	})
 }
 
-// Guards against a table that grows for ever, and against a claim that is dropped while its key may be used.
+// Guards against a table that grows without bound because expired claims are kept or applied, and against a claim
+// that is removed while its key may still be used.
 func TestTablePrune(t *testing.T) {
 	tab := NewTable()
 	tab.Apply(testNow, testRecord(t, 1, "1 a x"))
--- a/claim/votes_test.go
+++ b/claim/votes_test.go
@@ -27,7 +27,7 @@
 	measuredDuration = 20 * time.Second
 )
 
-// countingLog counts the appends of all acquirers.
+// countingLog is a log that counts the appends of all acquirers.
 type countingLog struct {
 	claim.Log
 	mutex   sync.Mutex
@@ -71,7 +71,7 @@
 	return acquirers
 }
 
-// BenchmarkVotes measures how long votes wait for their claims at a rate of random arrivals.
+// BenchmarkVotes measures how long requests wait for their claims when they arrive at random at a given mean rate.
 func BenchmarkVotes(b *testing.B) {
 	for _, perSecond := range []float64{1, 50, 500} {
 		b.Run(fmt.Sprintf("rate=%g", perSecond), func(b *testing.B) {
--- a/claim/writer.go
+++ b/claim/writer.go
@@ -13,21 +13,21 @@
 const (
 	// maxBatch bounds the claims of one record to about 60 KB.
 	maxBatch = 256
-	// logTimeout bounds one call of the log, so that a silent connection does not block a shard for long.
+	// logTimeout bounds one call of the log, so that a connection that does not answer does not block a shard for long.
 	logTimeout = 500 * time.Millisecond
-	// loadTimeout bounds the reading of a whole shard by a fresh writer.
+	// loadTimeout bounds the reading of a whole shard by a writer that has just started.
 	loadTimeout = 30 * time.Second
 	// maxWaiting bounds the claims that wait for one shard during an outage of the log.
 	maxWaiting = 4096
 )
 
-// Log is the part of the platform's log that claims need.
+// Log is the part of the platform's log that claims use.
 type Log interface {
 	Append(ctx context.Context, stream string, body []byte) (int64, error)
 	ReadPage(ctx context.Context, stream string, from int64, wait time.Duration) (provider.Batch, error)
 }
 
-// writer puts claims of one shard on the log, many in one record and one append at a time.
+// writer appends the claims of one shard to the log, many in one record and one record at a time.
 type writer struct {
 	log    Log
 	stream string
@@ -52,7 +52,7 @@
 	return &writer{log: log, stream: stream, table: NewTable()}
 }
 
-// submit returns the holder of the claim's key after the claim has been read back from the log or has lost.
+// submit queues a claim and returns the holder of its key once the claim has been read back from the log or has lost.
 func (wri *writer) submit(ctx context.Context, clm Claim) (Claim, error) {
 	req := &request{ctx: ctx, claim: clm, held: make(chan Claim, 1)}
 	wri.mutex.Lock()
@@ -80,11 +80,11 @@
 	}
 }
 
-// run appends until no claim waits. An append that failed may still take effect, so its claims are neither
-// granted nor refused by it: they stay in line, and a second copy of a claim has no effect.
+// run appends claims until none waits. An append that failed may still take effect, so it neither grants nor refuses
+// its claims: they stay in the queue and are appended again. A second copy of a claim has no effect.
 func (wri *writer) run() {
 	for {
-		delay, more := wri.upkeep(time.Now())
+		delay, more := wri.nextAppend(time.Now())
 		if !more {
 			return
 		}
@@ -99,8 +99,8 @@
 	}
 }
 
-// catchUpOnce reads the whole stream before the first append; claims that are appended while the writer is still
-// reading an hour of records are refused by their deadline, and appending them again would add copies only.
+// catchUpOnce reads the whole stream before the first append. While the writer still reads an hour of records, a claim
+// would exceed its deadline before it is read back, and appending it repeatedly would only add copies.
 func (wri *writer) catchUpOnce() error {
 	wri.mutex.Lock()
 	loaded := wri.loaded
@@ -111,9 +111,9 @@
 	return wri.catchUp(0, logTimeout)
 }
 
-// appendWaiting appends the claims in line and reads them back.
+// appendWaiting appends a batch of the queued claims and reads them back.
 func (wri *writer) appendWaiting() error {
-	batch := wri.take(time.Now())
+	batch := wri.nextBatch(time.Now())
 	if len(batch) == 0 {
 		return nil
 	}
@@ -125,8 +125,9 @@
 	return wri.catchUp(offset, logTimeout)
 }
 
-// upkeep forgets claims that nobody waits for and says how long to wait before the next append.
-func (wri *writer) upkeep(now time.Time) (delay time.Duration, more bool) {
+// nextAppend answers decided claims, removes those whose callers no longer wait, and returns the time until the next
+// append. more is false if no claim is left; a later submit must then start run again.
+func (wri *writer) nextAppend(now time.Time) (delay time.Duration, more bool) {
 	wri.mutex.Lock()
 	defer wri.mutex.Unlock()
 	wri.settle()
@@ -134,7 +135,7 @@
 	return wri.pace.Delay(now), wri.running
 }
 
-func (wri *writer) take(now time.Time) []Claim {
+func (wri *writer) nextBatch(now time.Time) []Claim {
 	wri.mutex.Lock()
 	defer wri.mutex.Unlock()
 	wri.settle()
@@ -148,7 +149,8 @@
 	return batch
 }
 
-// settle answers the claims that the table decides; the caller holds the mutex.
+// settle answers the queued claims that the table decides and removes those whose callers no longer wait; the caller
+// holds the mutex.
 func (wri *writer) settle() {
 	var left []*request
 	for _, req := range wri.waiting {
@@ -174,7 +176,7 @@
 	return offset, trace.Wrap(err)
 }
 
-// catchUp reads to the end of the stream, which must lie beyond the offset.
+// catchUp reads to the end of the stream. It fails if the stream ends before the record at the offset.
 func (wri *writer) catchUp(offset int64, timeout time.Duration) error {
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
@@ -210,7 +212,7 @@
 	return wri.table.Next
 }
 
-// prune drops claims of keys that have expired.
+// prune removes the claims of keys that have expired.
 func (wri *writer) prune(now time.Time) {
 	wri.mutex.Lock()
 	defer wri.mutex.Unlock()
