--- a/gateway/control.go
+++ b/gateway/control.go
@@ -12,21 +12,21 @@
 )
 
 const (
-	// tickInterval is the time between two rounds of the control goroutine without input.
+	// tickInterval is the interval of the control goroutine's periodic work.
 	tickInterval = 100 * time.Millisecond
 	inputBuffer  = 64
-	// sourceStore is the source of what an entry in the store, or its absence, says.
+	// sourceStore is logged as the source of information that comes from an entry in the store or from its removal.
 	sourceStore = "store"
 )
 
-// Snapshot is what the daemon believed at one moment; readers don't change it.
+// Snapshot is the daemon's view of configuration, endpoints and peers at one moment; readers must not modify it.
 type Snapshot struct {
-	// Catalog is nil until a configuration is known.
+	// Catalog is nil until the first configuration has been received.
 	Catalog *catalog.Catalog
 	Fleet   catalog.FleetView
 	// Peers are the other daemons by name.
 	Peers map[string]Peer
-	// StoreReadAt is when the store last answered.
+	// StoreReadAt is when this daemon, or a peer that shared its read, last read the store.
 	StoreReadAt time.Time
 }
 
@@ -35,13 +35,13 @@
 	Apply(now time.Time, ctl *Control)
 }
 
-// Control is the goroutine that owns what the daemon believes.
+// Control owns the daemon's view of configuration, endpoints and peers; its goroutine applies all changes in sequence.
 type Control struct {
 	Logger logrus.FieldLogger
 	Now    func() time.Time
-	// OnTick, if set, gets the newest snapshot every tickInterval.
+	// OnTick, if set, is called with the newest snapshot every tickInterval.
 	OnTick func(snp *Snapshot)
-	// OnLeaving, if set, learns in each round of each endpoint that leaves.
+	// OnLeaving, if set, is called for each endpoint that leaves whenever a snapshot is published, so repeatedly.
 	OnLeaving func(id string)
 
 	catalog     *catalog.Catalog
@@ -49,13 +49,13 @@
 	peers       map[string]Peer
 	storeReadAt time.Time
 	storeLost   bool
-	// sources says who told of endpoints that leave, if it wasn't the store.
+	// sources is who reported that an endpoint leaves, by id, until that is logged; without an entry it was the store.
 	sources  map[string]string
 	inputs   chan Input
 	snapshot atomic.Pointer[Snapshot]
 }
 
-// NewControl returns a control goroutine that knows nothing yet.
+// NewControl returns a Control with an empty view; Run must be started.
 func NewControl() *Control {
 	ctl := &Control{
 		Now: time.Now, fleet: catalog.NewFleet(), peers: map[string]Peer{}, sources: map[string]string{}, inputs: make(chan Input, inputBuffer),
@@ -69,7 +69,7 @@
 	return ctl.snapshot.Load()
 }
 
-// Send hands an input to the control goroutine.
+// Send queues an input for the control goroutine; it blocks while the queue is full.
 func (ctl *Control) Send(ctx context.Context, inp Input) {
 	select {
 	case ctl.inputs <- inp:
@@ -77,7 +77,7 @@
 	}
 }
 
-// Run applies inputs until the context ends.
+// Run applies inputs until the context is cancelled.
 func (ctl *Control) Run(ctx context.Context) {
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
@@ -105,8 +105,8 @@
 	for id := range snp.Fleet.Leaving {
 		_, known := old.Fleet.Leaving[id]
 		if !known {
-			source, told := ctl.sources[id]
-			if !told {
+			source, found := ctl.sources[id]
+			if !found {
 				source = sourceStore
 			}
 			delete(ctl.sources, id)
@@ -118,7 +118,7 @@
 	}
 	for id, edp := range snp.Fleet.Endpoints {
 		if !old.has(id) {
-			ctl.Logger.WithFields(logrus.Fields{fieldEndpoint: id, "service": edp.Service, "address": edp.Address}).Debug("endpoint known")
+			ctl.Logger.WithFields(logrus.Fields{fieldEndpoint: id, "service": edp.Service, "address": edp.Address}).Debug("endpoint added")
 		}
 	}
 }
@@ -128,13 +128,13 @@
 	return listed
 }
 
-// Published brings a configuration from the store or a peer.
+// Published is the input for a configuration that was read from the store or received from a peer.
 type Published struct {
 	Catalog *catalog.Catalog
 	Source  string
 }
 
-// Apply puts the configuration in force unless a newer one is.
+// Apply puts the configuration in force unless the one in force has the same or a later version.
 func (pub Published) Apply(_ time.Time, ctl *Control) {
 	if ctl.catalog != nil && pub.Catalog.Version <= ctl.catalog.Version {
 		return
@@ -145,16 +145,16 @@
 	}).Info("configuration in force")
 }
 
-// Registered brings entries of endpoints from the store.
+// Registered is the input for entries of endpoints in the store.
 type Registered struct {
 	Endpoints []catalog.Endpoint
-	// Removed are the ids of the entries that are gone.
+	// Removed are the ids of the endpoints whose entries were removed.
 	Removed []string
-	// Whole is true if endpoints that are not listed are gone.
+	// Whole is true if Endpoints is the complete list, so that endpoints that are missing in it were removed.
 	Whole bool
 }
 
-// Apply takes in the entries.
+// Apply updates the fleet with the entries.
 func (reg Registered) Apply(now time.Time, ctl *Control) {
 	if reg.Whole {
 		ctl.fleet.Replace(now, reg.Endpoints)
@@ -168,12 +168,12 @@
 	}
 }
 
-// StoreRead tells whether the store answered.
+// StoreRead is the input for the result of a read of the store.
 type StoreRead struct {
 	Err error
 }
 
-// Apply notes the outage or its end.
+// Apply records the outage of the store or its end.
 func (str StoreRead) Apply(now time.Time, ctl *Control) {
 	if str.Err != nil {
 		ctl.fleet.Outage(now)
@@ -191,14 +191,14 @@
 	ctl.storeReadAt = now
 }
 
-// Leaving tells that endpoints leave, by their own word or a peer's.
+// Leaving is the input for endpoints that are going to stop, as they reported themselves or as a peer reported.
 type Leaving struct {
-	// BornAt has the start of each endpoint by id.
+	// BornAt is the start time of each endpoint by id; it distinguishes an endpoint from an earlier one with the same id.
 	BornAt map[string]int64
 	Source string
 }
 
-// Apply marks the endpoints.
+// Apply marks the endpoints as leaving.
 func (lea Leaving) Apply(now time.Time, ctl *Control) {
 	for id, bornAt := range lea.BornAt {
 		if ctl.fleet.MarkLeaving(now, id, bornAt) {
@@ -211,21 +211,21 @@
 type Peer struct {
 	Address       string
 	FailureDomain string
-	// Draining is true if the daemon is about to stop.
+	// Draining is true if the daemon has received the signal to stop.
 	Draining bool
 }
 
-// PeerList brings other daemons by name.
+// PeerList is the input for other daemons, by name; it need not be complete.
 type PeerList struct {
 	Peers map[string]Peer
 }
 
-// Apply adds the daemons; those that are gone stop answering and are asked ever more rarely.
+// Apply adds or updates the daemons. It removes none: the back-off in noteAnswer covers daemons that have stopped.
 func (pel PeerList) Apply(_ time.Time, ctl *Control) {
 	peers := maps.Clone(ctl.peers)
 	for name, per := range pel.Peers {
 		if peers[name] != per {
-			ctl.Logger.WithFields(logrus.Fields{"peer": name, "address": per.Address, "draining": per.Draining}).Info("daemon known")
+			ctl.Logger.WithFields(logrus.Fields{"peer": name, "address": per.Address, "draining": per.Draining}).Info("peer added or changed")
 		}
 		peers[name] = per
 	}
--- a/gateway/crash.go
+++ b/gateway/crash.go
@@ -12,21 +12,22 @@
 )
 
 const (
-	// crashCheckDelay is how long after a broken answer the endpoint is tried: a crash takes seconds to recover from.
+	// crashCheckDelay is the delay from a broken answer to the connection attempt that shows whether the endpoint has
+	// crashed: a crashed endpoint takes no connections for seconds.
 	crashCheckDelay = 150 * time.Millisecond
-	// toldCrashes bounds the crashes in one message between daemons.
-	toldCrashes = 32
-	// condemnedRetry is when the caller of a request that crashes endpoints may come back.
+	// maxSharedCrashes limits the crashes in one message between daemons.
+	maxSharedCrashes = 32
+	// condemnedRetry is the Retry-After of requests that are refused because they crashed several endpoints.
 	condemnedRetry = 30 * time.Second
 )
 
-// crash is what daemons tell each other of a request that crashed an endpoint.
+// crash is the message between daemons that a request crashed an endpoint.
 type crash struct {
 	Digest   uint64 `json:"digest,string"`
 	Endpoint string `json:"endpoint"`
 }
 
-// digest identifies a request by what its caller sends again.
+// digest returns a hash of the parts of a request that stay the same when its caller retries it.
 func (rqs *request) digest() uint64 {
 	sum := xxhash.New()
 	for _, part := range []string{rqs.http.Method, rqs.http.Host, rqs.http.URL.RequestURI(), rqs.organisation} {
@@ -44,13 +45,14 @@
 	return srv.Suspects.Condemned(now, rqs.digest())
 }
 
-// checkCrash finds out whether an endpoint that broke off an answer has crashed: it takes no connection then.
-// An endpoint that leaves, or a caller that left, is no crash.
+// checkCrash checks in the background whether an endpoint that broke off an answer has crashed, that is, whether it
+// accepts no connections. It does nothing if the endpoint is known to leave, or if the caller disconnected or the deadline
+// passed.
 func (srv *Server) checkCrash(ctx context.Context, rqs *request, edp *catalog.Endpoint) {
 	if ctx.Err() != nil {
 		return
 	}
-	if _, leaving := srv.Board.Snapshot().Fleet.Leaving[edp.ID]; leaving {
+	if _, leaving := srv.Snapshots.Snapshot().Fleet.Leaving[edp.ID]; leaving {
 		return
 	}
 	found := crash{Digest: rqs.digest(), Endpoint: edp.ID}
@@ -75,13 +77,13 @@
 	srv.Suspects.Crashed(srv.Now(), found.Digest, found.Endpoint)
 }
 
-// crashes returns some of the crashes that are remembered, for peers that were not told at once.
+// crashes returns up to maxSharedCrashes recorded crashes; gossip carries them to peers that missed the broadcast.
 func (srv *Server) crashes(now time.Time) []crash {
 	srv.mutex.Lock()
 	defer srv.mutex.Unlock()
 	var found []crash
 	srv.Suspects.Each(now, func(digest uint64, endpoint string) {
-		if len(found) < toldCrashes {
+		if len(found) < maxSharedCrashes {
 			found = append(found, crash{Digest: digest, Endpoint: endpoint})
 		}
 	})
--- a/gateway/daemon.go
+++ b/gateway/daemon.go
@@ -19,15 +19,16 @@
 
 const (
 	headerTimeout = 10 * time.Second
-	// idleTimeout is longer than callers reuse idle connections.
+	// idleTimeout exceeds the time for which callers reuse idle connections.
 	idleTimeout = 2 * time.Minute
-	// unreadyTime is how long after the signal the balancer may still send new connections: it asks each second
-	// and takes a daemon out after two misses.
+	// unreadyTime is how long after the stop signal the load balancer may still send new connections: it checks readiness
+	// each second and takes a daemon out after two failed checks.
 	unreadyTime = 2300 * time.Millisecond
-	// exitMargin is the time kept for the end of the process before the platform ends it.
+	// exitMargin is the time reserved for the process to exit before the platform kills it at the end of the notice.
 	exitMargin = 300 * time.Millisecond
 	drainPoll  = 20 * time.Millisecond
-	// heapShare is the part of the memory limit at which the garbage collector works harder.
+	// heapShare is the Go runtime's soft memory limit, above which garbage is collected more often, as a fraction of the
+	// memory limit in the settings.
 	heapShare = 0.6
 )
 
@@ -40,7 +41,7 @@
 	Control  *Control
 	Exchange *Exchange
 	Prober   *Prober
-	// Tasks run in the background until the daemon stops.
+	// Tasks are functions to run in the background; their context is cancelled when the daemon stops.
 	Tasks []func(ctx context.Context)
 }
 
@@ -49,7 +50,7 @@
 	return &Daemon{Server: NewServer(), Control: NewControl(), Exchange: NewExchange(), Prober: NewProber()}
 }
 
-// Run serves until the context ends, then finishes the requests in flight.
+// Run serves until the context is cancelled, then drains: it finishes the requests in flight within the drain notice.
 func (dmn *Daemon) Run(ctx context.Context) error {
 	set := dmn.Settings
 	if set.MemoryMB > 0 {
@@ -85,7 +86,7 @@
 	}
 	var metrics *http.Server
 	if set.MetricsAddress != "" {
-		dmn.Server.Metrics.watch(dmn)
+		dmn.Server.Metrics.registerGauges(dmn)
 		mux := http.NewServeMux()
 		mux.Handle("GET /metrics", dmn.Server.Metrics.Handler())
 		if metrics, err = dmn.serve(grp, set.MetricsAddress, mux); err != nil {
@@ -111,7 +112,7 @@
 func (dmn *Daemon) build() {
 	set := dmn.Settings
 	srv := dmn.Server
-	srv.Board, srv.Logger = dmn.Control, dmn.Logger
+	srv.Snapshots, srv.Logger = dmn.Control, dmn.Logger
 	srv.Desk.FailureDomain = set.FailureDomain
 	srv.Budget.SetLimits(set.Retries.Ratio, set.Retries.Extra, time.Duration(set.Retries.Window))
 	dmn.Exchange.Name, dmn.Exchange.Server, dmn.Exchange.Control, dmn.Exchange.Logger = set.Name, srv, dmn.Control, dmn.Logger
@@ -120,7 +121,7 @@
 	dmn.Exchange.FailureDomain = set.FailureDomain
 	srv.HasNeighbour = dmn.Exchange.HasNeighbour
 	srv.OnCrash = dmn.Exchange.ShareCrash
-	srv.OnWork = dmn.Exchange.Work
+	srv.OnWork = dmn.Exchange.WorkChanged
 	dmn.Prober.Name, dmn.Prober.Control, dmn.Prober.Exchange, dmn.Prober.Engines, dmn.Prober.Logger = set.Name, dmn.Control, dmn.Exchange, srv.Engines, dmn.Logger
 	dmn.Exchange.Address = set.PeerAddress
 	dmn.Control.OnLeaving = srv.EndpointLeaves
@@ -148,7 +149,7 @@
 	return srv, nil
 }
 
-// Reload takes over the settings that may change while the daemon runs: the retry budget and the log level.
+// Reload applies the settings that may change while the daemon runs: the retry budget and the log level.
 func (dmn *Daemon) Reload(set *settings.Gateway) {
 	dmn.Server.mutex.Lock()
 	dmn.Server.Budget.SetLimits(set.Retries.Ratio, set.Retries.Extra, time.Duration(set.Retries.Window))
@@ -162,9 +163,9 @@
 	dmn.Logger.WithFields(logrus.Fields{"retries": set.Retries, "level": set.Log.Level, "needsRestart": restart}).Info("settings reloaded")
 }
 
-// answerReady tells the balancer whether the daemon takes callers.
+// answerReady is the readiness check of the load balancer: status 200 if the daemon accepts requests, otherwise 503.
 func (dmn *Daemon) answerReady(wri http.ResponseWriter, _ *http.Request) {
-	// A daemon that knows the routes but not the endpoints would turn each request away.
+	// With routes but without endpoints, the daemon would refuse each request.
 	if snp := dmn.Control.Snapshot(); dmn.Server.Draining() || snp.Catalog == nil || len(snp.Fleet.Endpoints) == 0 {
 		wri.WriteHeader(http.StatusServiceUnavailable)
 		return
@@ -172,11 +173,11 @@
 	wri.WriteHeader(http.StatusOK)
 }
 
-// drain takes requests until the balancer has noticed, and then finishes those in flight.
+// drain accepts requests until the load balancer has taken the daemon out, and then finishes those in flight.
 func (dmn *Daemon) drain(callers *http.Server) {
 	began := time.Now()
 	dmn.Server.drainingSince.Store(began.UnixNano())
-	dmn.Exchange.News()
+	dmn.Exchange.RequestRound()
 	dmn.Logger.WithField("inFlight", dmn.Server.InFlight()).Info("draining")
 	time.Sleep(unreadyTime)
 	callers.SetKeepAlivesEnabled(false)
@@ -186,7 +187,7 @@
 		sleep(ctx, drainPoll)
 	}
 	if err := callers.Shutdown(ctx); err != nil {
-		dmn.Logger.WithError(err).WithField("inFlight", dmn.Server.InFlight()).Warn("requests were in flight at the end of the notice")
+		dmn.Logger.WithError(err).WithField("inFlight", dmn.Server.InFlight()).Warn("requests still in flight at the end of the drain notice")
 		return
 	}
 	dmn.Logger.WithField("elapsed", time.Since(began)).Info("drained")
--- a/gateway/events.go
+++ b/gateway/events.go
@@ -8,15 +8,16 @@
 )
 
 const (
-	// maxEventBytes bounds one event of a stream.
+	// maxEventBytes limits the size of one event of a stream.
 	maxEventBytes = 1 << 20
 	eventIDField  = "id:"
 )
 
-// eventReader splits a stream into whole events, which it doesn't change.
+// eventReader reads a stream of server-sent events in units of complete events, unmodified.
 type eventReader struct {
 	body io.Reader
-	// framed is true if the answer's framing tells its end, so that what follows the last whole event belongs to it.
+	// framed is true if the answer has a content length or is chunked. A regular end then shows that the answer is
+	// complete, so data after the last separator is part of it and not a truncated event.
 	framed bool
 	buffer []byte
 	chunk  []byte
@@ -27,8 +28,8 @@
 	return &eventReader{body: res.Body, framed: framed, chunk: make([]byte, readBufferBytes)}
 }
 
-// next returns the whole events that have arrived, waiting for the first.
-// At the end of the stream it returns io.EOF, or io.ErrUnexpectedEOF if the last event is not whole.
+// next returns the complete events that have arrived; it waits for the first one.
+// At the end of the stream it returns io.EOF, or io.ErrUnexpectedEOF if the last event is truncated.
 func (evr *eventReader) next() ([]byte, error) {
 	for {
 		if end := eventsEnd(evr.buffer); end > 0 {
@@ -56,7 +57,7 @@
 	}
 }
 
-// eventsEnd returns the length of the whole events at the start of the data.
+// eventsEnd returns the length of the complete events at the start of the data.
 func eventsEnd(data []byte) int {
 	end := 0
 	for _, sep := range []string{"\n\n", "\r\n\r\n"} {
@@ -67,7 +68,7 @@
 	return end
 }
 
-// lastEventID returns the id of the last event that has one and the number of events.
+// lastEventID returns the id of the last event that has an id, and the number of events with ids.
 func lastEventID(events []byte) (id string, count int) {
 	for _, line := range bytes.Split(events, []byte("\n")) {
 		if value, ok := bytes.CutPrefix(line, []byte(eventIDField)); ok {
--- a/gateway/exchange.go
+++ b/gateway/exchange.go
@@ -16,40 +16,43 @@
 
 const (
 	exchangeMethod = "gateway.exchange"
-	// exchangeInterval is the time between two rounds of messages to some peers.
+	// exchangeInterval is the interval of the rounds of gossip.
 	exchangeInterval = 400 * time.Millisecond
-	// exchangePeers is the number of peers that a round reaches.
+	// exchangePeers is the number of random peers that a periodic round sends to.
 	exchangePeers = 3
-	// newsPeers is the number of peers told at once that this daemon drains.
-	newsPeers = 16
-	// exchangeTimeout bounds one message.
+	// urgentPeers is the number of peers that a requested round sends to, which announces that this daemon drains.
+	urgentPeers = 16
+	// exchangeTimeout limits one call to a peer.
 	exchangeTimeout = 600 * time.Millisecond
-	// newsAge is how long an endpoint's leaving is told.
-	newsAge = 10 * time.Second
+	// leavingGossipTime is how long the leaving of an endpoint is included in messages.
+	leavingGossipTime = 10 * time.Second
 )
 
-// message is what daemons tell each other.
+// message is the state that a daemon sends to its peers; some methods use only a part of the fields.
 type message struct {
 	Name string `json:"name"`
-	// Address is where the sender takes messages.
-	Address       string                    `json:"address,omitempty"`
-	FailureDomain string                    `json:"failureDomain,omitempty"`
-	Draining      bool                      `json:"draining,omitempty"`
-	Version       int64                     `json:"version"`
-	Usage         map[string]dispatch.Usage `json:"usage,omitempty"`
+	// Address is the sender's peer address.
+	Address       string `json:"address,omitempty"`
+	FailureDomain string `json:"failureDomain,omitempty"`
+	Draining      bool   `json:"draining,omitempty"`
+	// Version is the version of the sender's configuration in force, 0 without one.
+	Version int64 `json:"version"`
+	// Usage is the sender's work at endpoints, by endpoint id.
+	Usage map[string]dispatch.Usage `json:"usage,omitempty"`
 	// Crashes are requests that crashed endpoints.
 	Crashes []crash `json:"crashes,omitempty"`
-	// Leaving has the starts of endpoints that leave, by id.
+	// Leaving has the start times of endpoints that leave, by id.
 	Leaving map[string]int64 `json:"leaving,omitempty"`
 }
 
-// messageReply tells the sender what it may not know.
+// messageReply has the receiver's configuration version and the endpoints that leave and were not in the message.
 type messageReply struct {
 	Version int64            `json:"version"`
 	Leaving map[string]int64 `json:"leaving,omitempty"`
 }
 
-// Exchange tells other daemons what this one knows and learns from them.
+// Exchange gossips with other daemons: it exchanges load, endpoints that leave, crashes and configuration versions, and
+// distributes the topics of the store.
 type Exchange struct {
 	Name, Address, FailureDomain string
 	// Feeds are the followed topics by name.
@@ -62,25 +65,26 @@
 	Parse func(data []byte) (*catalog.Catalog, error)
 	Now   func() time.Time
 
-	news  chan struct{}
-	work  chan struct{}
-	parts chan *TopicPart
+	roundRequests chan struct{}
+	work          chan struct{}
+	parts         chan *TopicPart
+	// newer holds at most one peer with a newer configuration; see noticeVersion.
 	newer chan newerVersion
 
 	mutex sync.Mutex
-	// changed are the engines whose work is to be told.
+	// changed are the engines for which this daemon's work has changed since it was last sent.
 	changed map[string]bool
-	// failures are the peers that did not answer.
+	// failures are the peers whose last call failed, by address.
 	failures map[string]*peerFailure
 }
 
 // NewExchange returns an exchange that needs its exported fields set before Run.
 func NewExchange() *Exchange {
-	return &Exchange{Client: peer.NewClient(), Now: time.Now, news: make(chan struct{}, 1), work: make(chan struct{}, 1),
+	return &Exchange{Client: peer.NewClient(), Now: time.Now, roundRequests: make(chan struct{}, 1), work: make(chan struct{}, 1),
 		parts: make(chan *TopicPart, feedBuffer), newer: make(chan newerVersion, 1), Feeds: map[string]*Feed{}, failures: map[string]*peerFailure{}, changed: map[string]bool{}}
 }
 
-// Register adds the methods to a peer server.
+// Register adds the handlers of the gateway's methods to a peer server.
 func (exc *Exchange) Register(srv *peer.Server) {
 	srv.Handlers[exchangeMethod] = answer(func(ctx context.Context, msg *message) any {
 		return exc.receive(ctx, msg)
@@ -89,7 +93,7 @@
 		return exc.answerConfiguration(msg)
 	})
 	srv.Handlers[workMethod] = answer(func(_ context.Context, msg *message) any {
-		exc.takeUsage(msg)
+		exc.applyUsage(msg)
 		return nil
 	})
 	srv.Handlers[leavingMethod] = answer(func(ctx context.Context, msg *message) any {
@@ -101,7 +105,7 @@
 		return nil
 	})
 	srv.Handlers[topicMethod] = answer(func(_ context.Context, part *TopicPart) any {
-		exc.hearTopic(part)
+		exc.receiveTopic(part)
 		return nil
 	})
 }
@@ -117,15 +121,15 @@
 	}
 }
 
-// News asks for a round of messages at once.
-func (exc *Exchange) News() {
+// RequestRound makes Run send a round of messages now, to more peers than a periodic one; it does not block.
+func (exc *Exchange) RequestRound() {
 	select {
-	case exc.news <- struct{}{}:
+	case exc.roundRequests <- struct{}{}:
 	default:
 	}
 }
 
-// Run sends messages until the context ends.
+// Run sends rounds of messages until the context is cancelled.
 func (exc *Exchange) Run(ctx context.Context) {
 	ticker := time.NewTicker(exchangeInterval)
 	defer ticker.Stop()
@@ -135,8 +139,8 @@
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-		case <-exc.news:
-			count = newsPeers
+		case <-exc.roundRequests:
+			count = urgentPeers
 		}
 		exc.round(ctx, count)
 	}
@@ -148,7 +152,7 @@
 	return exc.Server.Desk.Own()
 }
 
-func (exc *Exchange) takeUsage(msg *message) {
+func (exc *Exchange) applyUsage(msg *message) {
 	exc.Server.mutex.Lock()
 	defer exc.Server.mutex.Unlock()
 	exc.Server.Desk.Peer(exc.Now(), msg.Name, msg.Usage)
@@ -172,7 +176,7 @@
 func (exc *Exchange) leaving(snp *Snapshot) map[string]int64 {
 	bornAt := map[string]int64{}
 	for id, mrk := range snp.Fleet.Leaving {
-		if exc.Now().Sub(mrk.At) < newsAge {
+		if exc.Now().Sub(mrk.At) < leavingGossipTime {
 			bornAt[id] = mrk.BornAt
 		}
 	}
@@ -195,7 +199,7 @@
 }
 
 func (exc *Exchange) receive(ctx context.Context, msg *message) *messageReply {
-	exc.takeUsage(msg)
+	exc.applyUsage(msg)
 	for _, found := range msg.Crashes {
 		exc.Server.noteCrash(found)
 	}
--- a/gateway/failure_test.go
+++ b/gateway/failure_test.go
@@ -14,8 +14,9 @@
 	"papayacroft/dispatch"
 )
 
-// A daemon that was frozen finds callers that left; that says nothing of the endpoints, and the next caller's request
-// must not be refused because of it (kowhai-votes scale-1, seed 288757404262: 11 refusals after a freeze of 3 s).
+// A caller that disconnects must not lower the rating of an endpoint. A daemon that was frozen finds many requests whose
+// callers have disconnected; when it recorded them as failures of the endpoints, it refused the requests that followed
+// (kowhai-votes scale-1, seed 288757404262: 11 refusals after a freeze of 3 s).
 func TestCallerThatLeftIsNoFailureOfTheEndpoint(t *testing.T) {
 	now := time.Unix(1_700_000_000, 0)
 	edp := catalog.Endpoint{ID: "e", Service: "desk", Address: "127.0.0.1:1", State: catalog.StateReady, Slots: 4}
@@ -27,7 +28,7 @@
 		Fleet:   catalog.FleetView{Endpoints: map[string]catalog.Endpoint{"e": edp}},
 	})
 	srv := NewServer()
-	srv.Board, srv.Logger, srv.Now = ctl, logger, func() time.Time { return now }
+	srv.Snapshots, srv.Logger, srv.Now = ctl, logger, func() time.Time { return now }
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	rqs := &request{
--- a/gateway/feed.go
+++ b/gateway/feed.go
@@ -11,61 +11,64 @@
 )
 
 const (
-	// unread is the offset of a topic that has not been read whole.
+	// unread is the offset of a topic that must be read whole: at the start, and after records were trimmed.
 	unread = int64(-1)
-	// hearSlack is how long after a peer should have read a topic a daemon reads it itself,
-	// and hearSpread keeps daemons from doing so at once.
-	hearSlack  = 150 * time.Millisecond
-	hearSpread = 300 * time.Millisecond
-	// emptyInterval is the time between two notices that there was nothing that others need.
+	// takeoverDelay is the extra time that a daemon allows a peer's next part to arrive before it reads the topic itself,
+	// and takeoverJitter is the maximum of a random delay on top, so that not all daemons do so at once.
+	takeoverDelay  = 150 * time.Millisecond
+	takeoverJitter = 300 * time.Millisecond
+	// emptyInterval is the minimum time since the last part before a part without records is shared, which shows the
+	// peers that this daemon still reads the topic.
 	emptyInterval = 300 * time.Millisecond
-	// minFeedPause and maxFeedPause bound the pause after a read that failed.
+	// minFeedPause and maxFeedPause limit the exponential back-off after failed reads.
 	minFeedPause = 100 * time.Millisecond
 	maxFeedPause = 800 * time.Millisecond
-	// gapPause lets the other parts of a topic arrive before a gap is read.
+	// gapPause is the delay before a gap between parts is read from the store; the missing part may arrive from a
+	// peer meanwhile.
 	gapPause   = 30 * time.Millisecond
 	feedBuffer = 16
 )
 
-// Record is the newest value of a key; a nil value means that the key was dropped.
+// Record is the newest value of a key; a nil value means that the key was deleted.
 type Record struct {
 	Key   string `json:"key"`
 	Value []byte `json:"value,omitempty"`
-	// Packed is true if the value is compressed on its way between daemons.
+	// Packed is true if the value is compressed for the transfer between daemons.
 	Packed bool `json:"packed,omitempty"`
 }
 
 // TopicReader reads the topics of the store.
 type TopicReader interface {
-	// Newest returns the newest record of each key and the offset at which to go on.
+	// Newest returns the newest record of each key and the offset at which to continue with Read.
 	Newest(ctx context.Context, topic string) (records []Record, next int64, err error)
-	// Read returns the records from an offset on, waiting for the first up to a time.
+	// Read returns the records from an offset on; if there is none yet, it waits up to the given time for the first.
 	Read(ctx context.Context, topic string, from int64, wait time.Duration) (records []Record, next int64, err error)
 }
 
-// TopicPart is what one daemon read of a topic, as it tells the others.
+// TopicPart is a range of a topic that one daemon read from the store and shares with its peers.
 type TopicPart struct {
 	Topic string `json:"topic"`
-	// Reader is the daemon that read the part.
-	Reader  string   `json:"reader"`
+	// Reader is the name of the daemon that read the part.
+	Reader string `json:"reader"`
+	// From and Next are the offsets at which the range begins and after which reading continues.
 	From    int64    `json:"from"`
 	Next    int64    `json:"next"`
 	Records []Record `json:"records,omitempty"`
-	// Forward are the addresses to which the receiver sends the part on.
+	// Forward are the addresses of the peers to which the receiver forwards the part.
 	Forward []string `json:"forward,omitempty"`
-	// First is true at the daemon that read the part.
+	// First is true only at the daemon that read the part; it makes that daemon choose the addressees.
 	First bool `json:"-"`
 }
 
-// IsTrimmed reports whether records were deleted before they were read.
+// IsTrimmed reports whether a read failed because the store had already deleted records from its offset on.
 func IsTrimmed(err error) bool {
 	return trace.IsNotFound(err)
 }
 
-// Feed follows one topic. Calls to the store are limited and priced, so one daemon reads and tells the others;
-// the others read when they have heard nothing for a while, and what they missed.
+// Feed follows one topic. Calls to the store are rate-limited and billed, so one daemon reads the topic and shares what
+// it read with its peers. A peer reads the topic itself only if no part has arrived for a while or if it missed one.
 type Feed struct {
-	// Name is this daemon's.
+	// Name is this daemon's name.
 	Name  string
 	Topic string
 	// Wait is the time for which a read waits for records, and Interval the pause between two reads.
@@ -74,21 +77,23 @@
 	Control        *Control
 	Logger         logrus.FieldLogger
 	Now            func() time.Time
-	// Apply takes in records and returns those that other daemons need.
+	// Apply applies records and returns those to share with peers; whole is true if they are the whole topic.
 	Apply func(ctx context.Context, records []Record, whole bool) []Record
-	// Share tells the other daemons.
+	// Share sends a part to the peers; it must not block.
 	Share func(part *TopicPart)
 
 	next int64
 	// readAt is when this daemon last read the topic itself.
 	readAt time.Time
-	// shared is the offset up to which the other daemons were told, at sharedAt.
+	// shared is the offset at which the next part that this daemon shares begins; sharedAt is when it last shared one.
 	shared   int64
 	sharedAt time.Time
-	pause    time.Duration
-	due      time.Time
-	parts    chan *TopicPart
-	// pending is the number of parts that are not taken in yet.
+	// pause is the back-off after the next failed read; it is minFeedPause unless reads have failed.
+	pause time.Duration
+	// due is when this daemon reads the topic itself.
+	due   time.Time
+	parts chan *TopicPart
+	// pending is the number of parts and reads that are not applied yet.
 	pending atomic.Int32
 }
 
@@ -97,8 +102,8 @@
 	return &Feed{Now: time.Now, next: unread, pause: minFeedPause, parts: make(chan *TopicPart, feedBuffer)}
 }
 
-// Hear takes in what another daemon read; it does not block.
-func (fed *Feed) Hear(part *TopicPart) {
+// Enqueue queues a part that a peer read, to be applied by Run. It does not block: if the queue is full, it drops the part.
+func (fed *Feed) Enqueue(part *TopicPart) {
 	fed.pending.Add(1)
 	select {
 	case fed.parts <- part:
@@ -107,21 +112,21 @@
 	}
 }
 
-// Busy reports whether parts are not taken in yet.
+// Busy reports whether parts or reads wait to be applied.
 func (fed *Feed) Busy() bool {
 	return fed.pending.Load() > 0
 }
 
-// Run follows the topic until the context ends.
+// Run follows the topic until the context is cancelled.
 func (fed *Feed) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		tmr := time.NewTimer(fed.due.Sub(fed.Now()))
 		select {
 		case <-ctx.Done():
 		case part := <-fed.parts:
-			fed.hear(ctx, part)
+			fed.applyPart(ctx, part)
 		case <-tmr.C:
-			fed.hearQueued(ctx)
+			fed.applyQueued(ctx)
 			if !fed.Now().Before(fed.due) {
 				fed.read(ctx)
 			}
@@ -130,19 +135,19 @@
 	}
 }
 
-// hearQueued takes in what came while the topic was read. It may tell that another daemon reads.
-func (fed *Feed) hearQueued(ctx context.Context) {
+// applyQueued applies the parts that arrived while the topic was read. They may postpone this daemon's next read.
+func (fed *Feed) applyQueued(ctx context.Context) {
 	for {
 		select {
 		case part := <-fed.parts:
-			fed.hear(ctx, part)
+			fed.applyPart(ctx, part)
 		default:
 			return
 		}
 	}
 }
 
-// read reads the topic and tells the other daemons.
+// read reads the topic from the store, applies the records and shares them with the peers.
 func (fed *Feed) read(ctx context.Context) {
 	from := fed.next
 	whole := from == unread
@@ -159,7 +164,7 @@
 	case ctx.Err() != nil:
 		return
 	case err != nil && IsTrimmed(err):
-		fed.Logger.WithFields(logrus.Fields{"topic": fed.Topic, "from": from}).Info("records expired; reading the topic whole")
+		fed.Logger.WithFields(logrus.Fields{"topic": fed.Topic, "from": from}).Info("records were trimmed before they were read; reading the whole topic")
 		fed.next, fed.due = unread, now
 		return
 	case err != nil:
@@ -182,7 +187,7 @@
 	fed.share(now, next, records)
 }
 
-// share tells the other daemons what was read, at once if they need a record of it and else now and then.
+// share sends what was read to the peers: at once if there are records, otherwise at most every emptyInterval.
 func (fed *Feed) share(now time.Time, next int64, records []Record) {
 	if len(records) == 0 && now.Sub(fed.sharedAt) < emptyInterval {
 		return
@@ -191,8 +196,9 @@
 	fed.shared, fed.sharedAt = next, now
 }
 
-// hear takes in what another daemon read, or reads what was missed before it.
-func (fed *Feed) hear(ctx context.Context, part *TopicPart) {
+// applyPart applies a part that a peer read and postpones this daemon's own read. If parts before it are missing, it makes
+// this daemon read them soon.
+func (fed *Feed) applyPart(ctx context.Context, part *TopicPart) {
 	defer fed.pending.Add(-1)
 	now := fed.Now()
 	if fed.next == unread {
@@ -202,12 +208,13 @@
 	if part.Next > fed.next {
 		var err error
 		if records, err = part.each((*Record).unpack); err != nil {
-			fed.Logger.WithError(err).WithField("peer", part.Reader).Warn("part of a topic passed over")
+			fed.Logger.WithError(err).WithField("peer", part.Reader).Warn("topic part from a peer could not be unpacked; ignored")
 			return
 		}
 	}
 	if part.From > fed.next {
-		// The records are the newest of their keys, also if the store can't be asked for those that were missed.
+		// Parts before this one are missing. Its records are the newest of their keys all the same, so they are applied
+		// even if the store can't be read to close the gap.
 		fed.Apply(ctx, records, false)
 		if fed.pause == minFeedPause {
 			fed.due = now.Add(gapPause)
@@ -220,13 +227,13 @@
 	}
 	fed.pause = minFeedPause
 	fed.Control.Send(ctx, StoreRead{})
-	// Of several daemons that read, the one with the lowest name goes on.
-	if reads := now.Sub(fed.readAt) < fed.Wait+fed.Interval+hearSlack; !reads || part.Reader < fed.Name {
-		fed.due = now.Add(fed.Wait + fed.Interval + hearSlack + time.Duration(rand.Int64N(int64(hearSpread))))
+	// If several daemons read the topic, only the one with the lowest name continues.
+	if reads := now.Sub(fed.readAt) < fed.Wait+fed.Interval+takeoverDelay; !reads || part.Reader < fed.Name {
+		fed.due = now.Add(fed.Wait + fed.Interval + takeoverDelay + time.Duration(rand.Int64N(int64(takeoverJitter))))
 	}
 }
 
-// spread varies a pause, so that daemons don't call the store all at once.
+// spread adds jitter to a back-off, so that daemons don't call the store all at once.
 func spread(pause time.Duration) time.Duration {
 	return time.Duration((0.7 + 0.6*rand.Float64()) * float64(pause))
 }
--- a/gateway/feed_test.go
+++ b/gateway/feed_test.go
@@ -11,38 +11,40 @@
 	"papayacroft/gateway"
 )
 
-// feeds is the number of feeds tried at once: a feed that chose between a queued part and its next read at random
-// would be right half of the time.
+// feeds is the number of feeds that the test runs: a faulty feed that chose at random between a queued part and its next
+// read would pass half of the time.
 const feeds = 16
 
-// toldReader is a topic that is also read by another daemon, which tells of it during each read.
-type toldReader struct {
+// sharedTopicReader is an empty topic that a second daemon reads too: a part from that daemon arrives during each read.
+type sharedTopicReader struct {
 	feed  *gateway.Feed
 	reads atomic.Int64
 }
 
-// Newest returns an empty topic.
-func (rdr *toldReader) Newest(context.Context, string) ([]gateway.Record, int64, error) {
+// Newest returns no records.
+func (rdr *sharedTopicReader) Newest(context.Context, string) ([]gateway.Record, int64, error) {
 	return nil, 0, nil
 }
 
-// Read returns nothing new.
-func (rdr *toldReader) Read(_ context.Context, topic string, from int64, _ time.Duration) ([]gateway.Record, int64, error) {
+// Read returns no records; meanwhile, a part from the other daemon arrives.
+func (rdr *sharedTopicReader) Read(_ context.Context, topic string, from int64, _ time.Duration) ([]gateway.Record, int64, error) {
 	rdr.reads.Add(1)
-	rdr.feed.Hear(&gateway.TopicPart{Topic: topic, Reader: "a", From: from, Next: from})
+	rdr.feed.Enqueue(&gateway.TopicPart{Topic: topic, Reader: "a", From: from, Next: from})
 	return nil, from, nil
 }
 
-// Guards against daemons that go on reading a topic that another one reads: calls to the store are limited and priced.
+// A daemon must stop reading a topic once it receives a part from a peer with a lower name that reads it: calls to the
+// store are rate-limited and billed. When a part arrives during a read, the part and the timer of the next read are ready
+// at the same time, and a feed that selects between them at random reads again half of the time.
 func TestFeedLeavesReadingToAnother(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
-	readers := make([]*toldReader, feeds)
+	readers := make([]*sharedTopicReader, feeds)
 	for i := range readers {
 		fed := gateway.NewFeed()
 		ctl := gateway.NewControl()
 		ctl.Logger = logrus.New()
-		readers[i] = &toldReader{feed: fed}
+		readers[i] = &sharedTopicReader{feed: fed}
 		fed.Name, fed.Topic, fed.Wait, fed.Reader, fed.Control, fed.Logger = "b", "topic", time.Minute, readers[i], ctl, ctl.Logger
 		fed.Apply = func(context.Context, []gateway.Record, bool) []gateway.Record { return nil }
 		fed.Share = func(*gateway.TopicPart) {}
--- a/gateway/fetch.go
+++ b/gateway/fetch.go
@@ -11,25 +11,26 @@
 
 const (
 	configurationMethod = "gateway.configuration"
-	// fetchDelay leaves time for the reader of the store to bring a new configuration first: 65 daemons that asked
-	// each other for 12 KB at once filled links of 10 Mbit/s for a second.
+	// fetchDelay is the delay before a newer configuration is fetched from a peer; usually the daemon that reads the store
+	// shares it meanwhile. 65 daemons that fetched 12 KB from each other at once filled links of 10 Mbit/s for a second.
 	fetchDelay = 200 * time.Millisecond
-	// fetchPoll is the time between two looks whether what came meanwhile is taken in.
+	// fetchPoll is the interval of the checks whether topic parts still wait to be applied.
 	fetchPoll = 10 * time.Millisecond
 )
 
-// configurationReply carries the configuration in force, compressed; it is empty if the asker's is as new.
+// configurationReply carries the compressed configuration in force; it is empty if the requester's is not older.
 type configurationReply struct {
 	Packed []byte `json:"packed,omitempty"`
 }
 
-// newerVersion says which peer has a newer configuration.
+// newerVersion is a configuration version that a peer has announced, and the peer's address.
 type newerVersion struct {
 	version int64
 	address string
 }
 
-// noticeVersion remembers a peer with a newer configuration; while one is asked, others are told again by the next message.
+// noticeVersion queues a fetch from a peer if its configuration is newer. If a fetch is queued already, it drops this one:
+// the peer's next message announces the version again.
 func (exc *Exchange) noticeVersion(version int64, address string) {
 	if address == "" || version <= currentVersion(exc.Control.Snapshot()) {
 		return
@@ -40,7 +41,8 @@
 	}
 }
 
-// RunFetch asks peers for configurations that the store did not bring, one after the other, until the context ends.
+// RunFetch fetches newer configurations from peers if they have not arrived from the store meanwhile, one at a time,
+// until the context is cancelled.
 func (exc *Exchange) RunFetch(ctx context.Context) {
 	for {
 		select {
@@ -48,7 +50,7 @@
 			return
 		case found := <-exc.newer:
 			sleep(ctx, fetchDelay)
-			for exc.hears() && ctx.Err() == nil {
+			for exc.hasPendingParts() && ctx.Err() == nil {
 				sleep(ctx, fetchPoll)
 			}
 			if currentVersion(exc.Control.Snapshot()) < found.version {
@@ -58,8 +60,8 @@
 	}
 }
 
-// hears reports whether a part of a topic came that is not taken in yet; it may bring the version.
-func (exc *Exchange) hears() bool {
+// hasPendingParts reports whether topic parts wait to be applied; one of them may contain the newer configuration.
+func (exc *Exchange) hasPendingParts() bool {
 	for _, fed := range exc.Feeds {
 		if fed.Busy() {
 			return true
@@ -79,7 +81,7 @@
 	}
 	cat, err := exc.parsePacked(reply.Packed)
 	if err != nil {
-		exc.Logger.WithError(err).WithField("peer", address).Warn("configuration of a peer passed over")
+		exc.Logger.WithError(err).WithField("peer", address).Warn("configuration from a peer is invalid; ignored")
 		return
 	}
 	exc.Control.Send(ctx, Published{Catalog: cat, Source: address})
@@ -93,7 +95,7 @@
 	return exc.Parse(data)
 }
 
-// answerConfiguration returns the configuration in force to a peer whose version is older.
+// answerConfiguration returns the configuration in force if the requesting peer's version is older.
 func (exc *Exchange) answerConfiguration(msg *message) *configurationReply {
 	snp := exc.Control.Snapshot()
 	if currentVersion(snp) <= msg.Version {
--- a/gateway/fields.go
+++ b/gateway/fields.go
@@ -1,6 +1,6 @@
 package gateway
 
-// The names of fields that several kinds of log lines have.
+// Names of fields that several log messages share.
 const (
 	fieldEndpoint = "endpoint"
 	fieldElapsed  = "elapsed"
--- a/gateway/link.go
+++ b/gateway/link.go
@@ -13,12 +13,13 @@
 )
 
 const (
-	// dialTimeout is well above a round trip within a region, and short enough to try another endpoint in time.
+	// dialTimeout is well above a round trip within a region, and short enough that another endpoint can be tried before
+	// the deadline.
 	dialTimeout = 250 * time.Millisecond
-	// concurrentWriteBytes is the size above which a body is sent while the answer is awaited:
-	// an endpoint may answer before it has read a long body.
+	// concurrentWriteBytes is the size above which a body is written concurrently with reading the answer: an endpoint
+	// may answer before it has read a long body.
 	concurrentWriteBytes = 16 << 10
-	// readBufferBytes holds several events of a stream.
+	// readBufferBytes is enough for several events of a stream.
 	readBufferBytes = 8 << 10
 )
 
@@ -29,11 +30,11 @@
 	Host   string
 	Header http.Header
 	Body   []byte
-	// HeadTimeout bounds the wait for the head of the answer; 0 leaves it to the context.
+	// HeadTimeout limits the wait for the head of the answer; with 0, only the context limits it.
 	HeadTimeout time.Duration
 }
 
-// SendError says how far a request came that got no answer.
+// SendError is the error of a request that got no answer; it shows whether the request may have been sent.
 type SendError struct {
 	// Sent is false if the endpoint can't have read any of the request.
 	Sent bool
@@ -53,9 +54,9 @@
 	return err.Err
 }
 
-// Link is one connection to an endpoint, which carries one request.
-// A connection of its own keeps a request apart from late or surplus answers to others, and from connections
-// that were closed or went silent while they were idle.
+// Link is a connection to an endpoint that carries a single request.
+// Connections are not reused: on a reused connection, a request could receive a late or surplus answer to an earlier
+// request, or fail because the connection was closed or became unresponsive while idle.
 type Link struct {
 	Response *http.Response
 
@@ -64,7 +65,7 @@
 	stop func() bool
 }
 
-// Open sends a request and reads the head of its answer; the context ends the link at any later time too.
+// Open sends a request and reads the head of its answer. If the context ends at any later time, the link is closed too.
 func Open(ctx context.Context, address string, out *Outgoing) (*Link, error) {
 	dialCtx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
@@ -94,7 +95,7 @@
 		req.Body = io.NopCloser(bytes.NewReader(out.Body))
 	}
 	if len(out.Body) > concurrentWriteBytes {
-		// A failed write shows as a failed read.
+		// The error needs no handling: if the write fails, reading the answer fails too.
 		go func() { _ = req.Write(lnk.conn) }()
 	} else if err := req.Write(lnk.conn); err != nil {
 		return err
@@ -108,7 +109,7 @@
 	return err
 }
 
-// readResponse skips informational answers.
+// readResponse reads the final response; it skips 1xx responses.
 func readResponse(rdr *bufio.Reader, req *http.Request) (*http.Response, error) {
 	for {
 		res, err := http.ReadResponse(rdr, req)
@@ -118,7 +119,7 @@
 	}
 }
 
-// Close ends the connection; an endpoint that still works on the request may notice.
+// Close closes the connection; an endpoint that still runs the request may detect that and cancel it.
 func (lnk *Link) Close() {
 	lnk.stop()
 	lnk.closeConn()
@@ -128,7 +129,7 @@
 	lnk.once.Do(func() { _ = lnk.conn.Close() })
 }
 
-// SetReadDeadline bounds the wait for more of the answer.
+// SetReadDeadline sets the time until which reads of the answer may block; zero means no limit.
 func (lnk *Link) SetReadDeadline(at time.Time) {
 	_ = lnk.conn.SetReadDeadline(at)
 }
--- a/gateway/metrics.go
+++ b/gateway/metrics.go
@@ -11,26 +11,27 @@
 
 const metricsNamespace = "papayacroft_gateway"
 
-// firstEventBuckets put bounds at the targets of the deployments, 1.5 and 1.8 s.
+// firstEventBuckets have bounds at the targets of the deployments, 1.5 and 1.8 s.
 var firstEventBuckets = []float64{0.1, 0.2, 0.4, 0.7, 1, 1.5, 1.8, 2.5, 5, 10}
 
-// callBuckets put a bound at the target of plain calls, 0.1 s.
+// callBuckets have a bound at the target of plain calls, 0.1 s.
 var callBuckets = []float64{0.01, 0.02, 0.04, 0.07, 0.1, 0.2, 0.4, 0.6, 1, 2}
 
 // Metrics are the counters and histograms of a gateway.
 type Metrics struct {
 	registry *prometheus.Registry
-	// requests counts finished requests by kind and status; status 0 is an answer that broke off or nobody waited for.
+	// requests counts finished requests by kind and status; status 0 is an answer that broke off or whose caller had
+	// disconnected.
 	requests *prometheus.CounterVec
-	// sends counts sends to endpoints by outcome.
+	// sends counts requests sent to endpoints by outcome.
 	sends *prometheus.CounterVec
-	// moves counts copies of generations off leaving engines by outcome.
+	// moves counts attempts to copy generations off leaving engines by outcome.
 	moves *prometheus.CounterVec
 	calls, firstEvents,
 	pauses prometheus.Histogram
 }
 
-// NewMetrics returns metrics in a registry of their own.
+// NewMetrics returns metrics in a new registry.
 func NewMetrics() *Metrics {
 	met := &Metrics{
 		registry: prometheus.NewRegistry(),
@@ -58,8 +59,8 @@
 	return met
 }
 
-// watch registers gauges of what the daemon believes.
-func (met *Metrics) watch(dmn *Daemon) {
+// registerGauges registers gauges of the daemon's current state.
+func (met *Metrics) registerGauges(dmn *Daemon) {
 	gauge := func(name, help string, read func(snp *Snapshot) float64) {
 		met.registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Namespace: metricsNamespace, Name: name, Help: help},
 			func() float64 { return read(dmn.Control.Snapshot()) }))
@@ -92,14 +93,14 @@
 	})
 }
 
-// ages returns the ages of the oldest report and the oldest word of a peer.
+// ages returns the ages of the oldest load report of an endpoint and of the oldest usage sent by a peer that decisions use.
 func (srv *Server) ages() (report, usage time.Duration) {
 	srv.mutex.Lock()
 	defer srv.mutex.Unlock()
 	return srv.Desk.Ages(srv.Now())
 }
 
-// repeatsLeft returns the fewest repeats that a service has left, the whole allowance before the first request.
+// repeatsLeft returns the retries left of the service with the fewest; before the first request, the fixed allowance.
 func (srv *Server) repeatsLeft() float64 {
 	srv.mutex.Lock()
 	defer srv.mutex.Unlock()
@@ -110,7 +111,7 @@
 	return fewest
 }
 
-// Handler serves the metrics.
+// Handler returns the handler that serves the metrics.
 func (met *Metrics) Handler() http.Handler {
 	return promhttp.HandlerFor(met.registry, promhttp.HandlerOpts{})
 }
--- a/gateway/move.go
+++ b/gateway/move.go
@@ -12,23 +12,25 @@
 )
 
 const (
-	// moveTimeout bounds one copy of a generation's memory, which waits for others on the same links.
+	// moveTimeout limits all copies of one generation to one destination, which queue behind other copies on the same links.
 	moveTimeout = 2500 * time.Millisecond
-	// shortCopy is a copy after which the last one takes less than half of the pause that is on time (180 ms).
+	// shortCopy is the excess over the expected copy time below which the final copy may follow: it then pauses the
+	// generation for less than half of the longest pause that is on time (180 ms).
 	shortCopy = 80 * time.Millisecond
-	// copyTime bounds the copies of a running generation: the shortest notice is 1.5 s.
+	// copyTime is the time after which no further copy is made while the generation runs: the shortest notice of an
+	// engine that leaves is 1.5 s.
 	copyTime = 1100 * time.Millisecond
-	// moveInterval is the time between two tries to move the generations of one engine.
+	// moveInterval is the minimum time between two attempts to move the generations of one engine.
 	moveInterval = 250 * time.Millisecond
-	// reportTimeout bounds the wait for an engine's report.
+	// reportTimeout limits the request for an engine's report.
 	reportTimeout = 150 * time.Millisecond
-	// moveTries bounds the engines tried as the destination of one move.
+	// moveTries limits the engines that are tried as the destination of one move.
 	moveTries = 3
 )
 
-// Copied is what an engine answers to a copy of a generation's memory.
+// Copied is an engine's response after it has copied a generation's memory.
 type Copied struct {
-	// Handle names the copy.
+	// Handle identifies the copy.
 	Handle string
 	// Events is the number of events generated so far.
 	Events int
@@ -40,35 +42,36 @@
 	Tokens, Events int
 }
 
-// EngineReport is what an engine says of itself.
+// EngineReport is the state that an engine reports about itself.
 type EngineReport struct {
 	Runs []EngineRun
-	// Leaves is true if the engine knows when it leaves, and LeavesIn is the time until then.
+	// Leaves is true if the engine reports that it is going to stop; LeavesIn is the time until then.
 	Leaves   bool
 	LeavesIn time.Duration
 }
 
-// Engines are the control calls of model engines.
+// Engines is the client for the control API of model engines.
 type Engines interface {
-	// Copy copies the memory of a running generation to another engine; last stops the generation first.
+	// Copy copies the memory of a running generation to another engine. With last, it first stops the generation.
 	Copy(ctx context.Context, source, callID, target string, last bool) (Copied, error)
 	// Report asks an engine for its state.
 	Report(ctx context.Context, address string) (EngineReport, error)
 	// Drop frees a copy at both engines.
 	Drop(ctx context.Context, source, handle string) error
-	// CopyName returns the name under which a copy made at a source is used.
+	// CopyName returns the value of Forward.Copy with which a request continues from a copy made at the source.
 	CopyName(source, handle string) string
 }
 
-// streams are the generations being relayed, by engine.
+// streams is the registry of the generations being relayed, by engine.
 type streams struct {
 	mutex      sync.Mutex
 	byEndpoint map[string]map[*run]catalog.Endpoint
-	lookedAt   map[string]time.Time
+	// lastMoveAt is the time of the last attempt to move generations, by engine.
+	lastMoveAt map[string]time.Time
 }
 
 func newStreams() *streams {
-	return &streams{byEndpoint: map[string]map[*run]catalog.Endpoint{}, lookedAt: map[string]time.Time{}}
+	return &streams{byEndpoint: map[string]map[*run]catalog.Endpoint{}, lastMoveAt: map[string]time.Time{}}
 }
 
 func (sts *streams) add(one *run) {
@@ -87,19 +90,20 @@
 	defer sts.mutex.Unlock()
 	delete(sts.byEndpoint[one.endpoint.ID], one)
 	if len(sts.byEndpoint[one.endpoint.ID]) == 0 {
-		delete(sts.lookedAt, one.endpoint.ID)
+		delete(sts.lastMoveAt, one.endpoint.ID)
 		delete(sts.byEndpoint, one.endpoint.ID)
 	}
 }
 
-// movable returns the generations at an engine that can be moved; it looks at each engine once in a while only.
+// movable returns the generations at an engine that can be moved. It returns none if it was called for the same engine
+// less than moveInterval ago.
 func (sts *streams) movable(now time.Time, id string) (source catalog.Endpoint, runs []*run) {
 	sts.mutex.Lock()
 	defer sts.mutex.Unlock()
-	if len(sts.byEndpoint[id]) == 0 || now.Sub(sts.lookedAt[id]) < moveInterval {
+	if len(sts.byEndpoint[id]) == 0 || now.Sub(sts.lastMoveAt[id]) < moveInterval {
 		return source, nil
 	}
-	sts.lookedAt[id] = now
+	sts.lastMoveAt[id] = now
 	for one, edp := range sts.byEndpoint[id] {
 		if one.movable {
 			source, runs = edp, append(runs, one)
@@ -108,12 +112,12 @@
 	return source, runs
 }
 
-// EndpointLeaves moves the generations off an engine that leaves.
+// EndpointLeaves starts to move this daemon's generations off an engine that leaves; it does not block.
 func (srv *Server) EndpointLeaves(id string) {
 	source, runs := srv.streams.movable(srv.Now(), id)
 	var begun []*run
 	for _, one := range runs {
-		if one.begins() {
+		if one.beginMove() {
 			begun = append(begun, one)
 		}
 	}
@@ -122,10 +126,10 @@
 	}
 }
 
-// moveAll moves generations in an order that all daemons derive from the engine's report.
-// All copies leave over one link: one begun in its turn ends soon and stops its generation for a moment only, while
-// copies begun at once would all end late, and most of the short last copies would not be made in time.
-// The engine's entry may be gone already while it still serves.
+// moveAll moves this daemon's generations off an engine, in an order that every daemon derives alike from the engine's
+// report. All copies share the engine's one outgoing link. Made one after the other, each ends soon and pauses its
+// generation only briefly; concurrent copies would all end late, and most of the short final copies would miss the
+// engine's end. The source is passed by value because the engine's entry may have been removed while it still serves.
 func (srv *Server) moveAll(source catalog.Endpoint, runs []*run) {
 	ctx, cancel := context.WithTimeout(context.Background(), reportTimeout)
 	defer cancel()
@@ -143,17 +147,17 @@
 	}
 }
 
-// moveStarts returns when to begin the copy of each generation of an engine, the smallest first.
+// moveStarts returns the delay after which to begin the copy of each generation of an engine, the smallest first.
 func (srv *Server) moveStarts(source *catalog.Endpoint, rpt *EngineReport) map[string]time.Duration {
-	snp := srv.Board.Snapshot()
+	snp := srv.Snapshots.Snapshot()
 	engine := snp.Catalog.Services[source.Service].Engine
 	return dispatch.CopyPlan(copies(rpt), func(tokens int) time.Duration {
 		return engine.CopyTime(tokens, !snp.Fleet.HasNeighbour(source))
 	})
 }
 
-// begins marks the move as begun and reports whether it may go on.
-func (one *run) begins() bool {
+// beginMove marks the generation as moving; it returns false if it already was.
+func (one *run) beginMove() bool {
 	one.mutex.Lock()
 	defer one.mutex.Unlock()
 	if one.moving != nil {
@@ -163,7 +167,7 @@
 	return true
 }
 
-// move copies the generation to another engine and stops it at the source.
+// move copies the generation to another engine and stops it at the source, trying up to moveTries destinations.
 func (one *run) move(source *catalog.Endpoint) {
 	defer one.endMove()
 	ctx, cancel := context.WithDeadline(one.http.Context(), one.deadline)
@@ -186,7 +190,7 @@
 	}
 }
 
-// endMove wakes a broken stream; without a copy a later try may begin.
+// endMove wakes a stream that waits in awaitMove; if no copy was made, it allows a later attempt to move.
 func (one *run) endMove() {
 	one.mutex.Lock()
 	defer one.mutex.Unlock()
@@ -206,7 +210,8 @@
 	})
 }
 
-// copyTo copies the memory while the generation runs, then stops it and copies the rest.
+// copyTo copies the memory while the generation runs, then stops it and copies what was added meanwhile.
+// If the final copy fails, the stream continues from the earlier one.
 func (one *run) copyTo(ctx context.Context, log logrus.FieldLogger, source, target *catalog.Endpoint) bool {
 	ctx, cancel := context.WithTimeout(ctx, moveTimeout)
 	defer cancel()
@@ -234,12 +239,12 @@
 	}).Info("generation copied")
 	one.server.Metrics.moves.WithLabelValues("copied").Inc()
 	one.mutex.Lock()
-	one.copy = &copyAt{endpoint: target, name: engines.CopyName(source.Address, cpd.Handle)}
+	one.copy = &memoryCopy{endpoint: target, name: engines.CopyName(source.Address, cpd.Handle)}
 	one.mutex.Unlock()
 	return true
 }
 
-// dropCopy frees the copy of a generation whose caller left.
+// dropCopy frees the copy of a generation whose caller disconnected.
 func (one *run) dropCopy(source *catalog.Endpoint, cpd Copied) {
 	ctx, cancel := context.WithTimeout(context.Background(), moveTimeout)
 	defer cancel()
@@ -248,10 +253,11 @@
 	}
 }
 
-// copyRunning copies the memory while the generation runs, again until little is new and the links are free:
-// the last copy, for which the generation stops, waits behind those of others.
+// copyRunning copies the memory while the generation runs, repeatedly, until a copy is short or copyTime has passed.
+// A short copy shows that little was added and that the links are free: the final copy, for which the generation
+// stops, would otherwise queue behind copies of other generations.
 func (one *run) copyRunning(ctx context.Context, source, target *catalog.Endpoint) (cpd Copied, rounds int, err error) {
-	engine := one.server.Board.Snapshot().Catalog.Services[one.service].Engine
+	engine := one.server.Snapshots.Snapshot().Catalog.Services[one.service].Engine
 	one.mutex.Lock()
 	events := one.events
 	one.mutex.Unlock()
--- a/gateway/notices.go
+++ b/gateway/notices.go
@@ -11,29 +11,31 @@
 	workMethod  = "gateway.work"
 	topicMethod = "gateway.topic"
 	crashMethod = "gateway.crash"
-	// leavingMethod tells of an endpoint that leaves by its own word; what the store says reaches all by its topic.
+	// leavingMethod announces endpoints that reported themselves that they leave. Leaving that follows from an entry in
+	// the store is not announced: it reaches all daemons with the topic.
 	leavingMethod = "gateway.leaving"
-	// workDelay gathers the generations that are sent at about the same time in one message.
+	// workDelay is how long changes of work are collected before they are sent in one message.
 	workDelay = 3 * time.Millisecond
-	// forwardWidth is the number of peers to which a daemon sends a part of a topic itself.
+	// forwardWidth is the number of peers to which a daemon sends a topic part directly; these forward it to the others.
 	forwardWidth = 8
-	// maxAddressees bounds the peers that are told of a part of a topic.
+	// maxAddressees limits the peers that a broadcast reaches.
 	maxAddressees = 1024
-	// notifyTimeout bounds a message without an answer.
+	// notifyTimeout limits sending a message that has no response.
 	notifyTimeout = 100 * time.Millisecond
 )
 
-// ShareCrash tells all peers of a request that crashed an endpoint.
+// ShareCrash broadcasts to all peers that a request crashed an endpoint.
 func (exc *Exchange) ShareCrash(found crash) {
 	exc.notify(context.Background(), exc.addresses(maxAddressees), crashMethod, found)
 }
 
-// ShareLeaving tells all peers of endpoints that leave, with the start of each by id.
+// ShareLeaving broadcasts to all peers that endpoints leave; bornAt has the start time of each by id.
 func (exc *Exchange) ShareLeaving(bornAt map[string]int64) {
 	exc.notify(context.Background(), exc.addresses(maxAddressees), leavingMethod, &message{Name: exc.Name, Leaving: bornAt})
 }
 
-// ShareTopic tells the peers what this daemon read; it does not block.
+// ShareTopic queues a topic part to be sent to the peers by RunNotices. It does not block: if the queue is full, the part
+// is dropped.
 func (exc *Exchange) ShareTopic(part *TopicPart) {
 	select {
 	case exc.parts <- part:
@@ -41,8 +43,8 @@
 	}
 }
 
-// Work asks to tell the users of an engine at once what this daemon has there.
-func (exc *Exchange) Work(endpoint string) {
+// WorkChanged makes RunNotices send this daemon's work at an engine to the daemons that use the engine.
+func (exc *Exchange) WorkChanged(endpoint string) {
 	exc.mutex.Lock()
 	exc.changed[endpoint] = true
 	exc.mutex.Unlock()
@@ -52,17 +54,17 @@
 	}
 }
 
-// hearTopic takes in what another daemon read and sends it on.
-func (exc *Exchange) hearTopic(part *TopicPart) {
+// receiveTopic applies a topic part that a peer read, and forwards it to the addressees that it names.
+func (exc *Exchange) receiveTopic(part *TopicPart) {
 	if fed, ok := exc.Feeds[part.Topic]; ok {
-		fed.Hear(part)
+		fed.Enqueue(part)
 	}
 	if len(part.Forward) > 0 {
 		exc.ShareTopic(part)
 	}
 }
 
-// RunNotices tells the peers of new generations and of what was read from the store, until the context ends.
+// RunNotices sends changes of this daemon's work and topic parts to peers until the context is cancelled.
 func (exc *Exchange) RunNotices(ctx context.Context) {
 	for {
 		select {
@@ -70,15 +72,15 @@
 			return
 		case <-exc.work:
 			sleep(ctx, workDelay)
-			exc.tellWork(ctx)
+			exc.sendWork(ctx)
 		case part := <-exc.parts:
 			exc.forward(ctx, part)
 		}
 	}
 }
 
-// tellWork tells the users of each engine whose work changed what this daemon has there.
-func (exc *Exchange) tellWork(ctx context.Context) {
+// sendWork sends, for each engine whose work changed, this daemon's work there to the daemons that use the engine.
+func (exc *Exchange) sendWork(ctx context.Context) {
 	exc.mutex.Lock()
 	changed := exc.changed
 	exc.changed = map[string]bool{}
@@ -102,14 +104,15 @@
 	}
 }
 
-// forward sends a part of a topic to all its addressees: to a first one of each group, which forwards it to the others.
+// forward distributes a topic part as a tree: it divides the addressees into forwardWidth groups and sends the part to
+// the first of each group, which forwards it to the others of the group.
 func (exc *Exchange) forward(ctx context.Context, part *TopicPart) {
 	addresses := part.Forward
 	if part.First {
 		addresses = exc.addresses(maxAddressees)
 		var err error
 		if part.Records, err = part.each((*Record).pack); err != nil {
-			exc.Logger.WithError(err).WithField("topic", part.Topic).Warn("part of a topic not told")
+			exc.Logger.WithError(err).WithField("topic", part.Topic).Warn("topic part could not be compressed; not sent to peers")
 			return
 		}
 	}
--- a/gateway/pack.go
+++ b/gateway/pack.go
@@ -10,14 +10,14 @@
 )
 
 const (
-	// packBytes is the size above which values are compressed: a configuration of 2,000 routes has 300 KB, which
-	// counts on links of 10 Mbit/s.
+	// packBytes is the size from which values are compressed: a configuration of 2,000 routes has 300 KB, which takes a
+	// considerable time on links of 10 Mbit/s.
 	packBytes = 4 << 10
-	// maxUnpackedBytes bounds what a peer's value may grow to; the store takes 256 KiB a record.
+	// maxUnpackedBytes limits the size of a decompressed value from a peer; the store accepts 256 KiB a record.
 	maxUnpackedBytes = 16 << 20
 )
 
-// pack compresses a large value; the record is then sent on as it is.
+// pack compresses a large value; peers that forward the record don't unpack it.
 func (rec *Record) pack() error {
 	if rec.Packed || len(rec.Value) < packBytes {
 		return nil
@@ -30,7 +30,7 @@
 	return nil
 }
 
-// unpack restores the value.
+// unpack decompresses the value if it is compressed.
 func (rec *Record) unpack() error {
 	if !rec.Packed {
 		return nil
@@ -43,7 +43,8 @@
 	return nil
 }
 
-// each returns a copy of the part's records that was changed by a function; the part is sent on as it is.
+// each returns a copy of the part's records to which change was applied; the part itself, which may be forwarded, is
+// not modified.
 func (prt *TopicPart) each(change func(rec *Record) error) ([]Record, error) {
 	records := slices.Clone(prt.Records)
 	for i := range records {
--- a/gateway/peers.go
+++ b/gateway/peers.go
@@ -6,18 +6,18 @@
 )
 
 const (
-	// minPeerPause and maxPeerPause bound the time for which a peer that does not answer is left alone.
+	// minPeerPause and maxPeerPause limit the exponential back-off for a peer that does not answer.
 	minPeerPause = 300 * time.Millisecond
 	maxPeerPause = 5 * time.Second
 )
 
-// peerFailure says how long a peer that did not answer is left alone.
+// peerFailure is the back-off state of a peer that did not answer.
 type peerFailure struct {
 	pause time.Duration
 	until time.Time
 }
 
-// noteAnswer leaves a peer that does not answer alone for a time that grows.
+// noteAnswer records the result of a call to a peer: a failure doubles the peer's back-off, a success ends it.
 func (exc *Exchange) noteAnswer(address string, err error) {
 	exc.mutex.Lock()
 	defer exc.mutex.Unlock()
@@ -35,7 +35,7 @@
 	fai.pause = min(2*fai.pause, maxPeerPause)
 }
 
-// addresses returns some peers in random order.
+// addresses returns the addresses of up to count random peers, without those in back-off.
 func (exc *Exchange) addresses(count int) []string {
 	snp := exc.Control.Snapshot()
 	addresses := make([]string, 0, len(snp.Peers))
@@ -51,7 +51,7 @@
 	return addresses[:min(count, len(addresses))]
 }
 
-// Answering returns the peers that answered last, by name.
+// Answering returns the peers whose last call did not fail, by name.
 func (exc *Exchange) Answering() map[string]Peer {
 	answering := map[string]Peer{}
 	exc.mutex.Lock()
@@ -64,7 +64,7 @@
 	return answering
 }
 
-// Members returns the names of the daemons that answer and of this one.
+// Members returns the names of this daemon and of the peers that answer.
 func (exc *Exchange) Members() []string {
 	names := []string{exc.Name}
 	for name := range exc.Answering() {
@@ -73,7 +73,7 @@
 	return names
 }
 
-// HasNeighbour reports whether another daemon of the failure domain takes callers.
+// HasNeighbour reports whether another daemon of the same failure domain answers and is not draining.
 func (exc *Exchange) HasNeighbour() bool {
 	for _, per := range exc.Answering() {
 		if per.FailureDomain == exc.FailureDomain && !per.Draining {
--- a/gateway/plain.go
+++ b/gateway/plain.go
@@ -15,62 +15,64 @@
 )
 
 const (
-	// maxPlainBytes bounds an answer that is held until it is complete.
+	// maxPlainBytes limits an answer that is buffered until it is complete.
 	maxPlainBytes = 4 << 20
-	// fullRetry is when a caller may come back that found all endpoints full or none that takes work.
+	// fullRetry is the Retry-After of requests for which all endpoints are full or none accepts work.
 	fullRetry = 400 * time.Millisecond
-	// maxUnreached bounds the endpoints tried for one request that took no connection.
+	// maxUnreached limits the endpoints that one request is tried at without getting a connection.
 	maxUnreached = 4
-	// silentShare is the part of the remaining time after which a repeatable request is tried elsewhere.
+	// silentShare is the time for which a repeatable request waits for an endpoint's answer before it is retried at
+	// another endpoint, as a fraction of the time left until its deadline.
 	silentShare = 0.4
 )
 
-// plainAnswer is a whole answer of an endpoint.
+// plainAnswer is an endpoint's complete, buffered answer.
 type plainAnswer struct {
 	response *http.Response
 	body     []byte
 }
 
-// outcome is what became of one send.
+// outcome is the result of sending a request to one endpoint.
 type outcome int
 
 const (
-	// outcomeAnswered is a whole answer.
+	// outcomeAnswered means that the endpoint answered and did not refuse the request.
 	outcomeAnswered outcome = iota
 	// outcomeNotRun means that the endpoint did not run the request.
 	outcomeNotRun
-	// outcomeUnreached means that the request was not sent.
+	// outcomeUnreached means that no connection was made, so the request was not sent.
 	outcomeUnreached
-	// outcomeUnknown means that the endpoint may have run the request.
+	// outcomeUnknown means that the endpoint may have run the request but gave no valid answer.
 	outcomeUnknown
 )
 
-// tries is what became of the sends of one request.
+// tries accumulates the outcomes of all sends of one request.
 type tries struct {
-	// answer is the last whole answer of an endpoint.
+	// answer is the last complete answer of an endpoint.
 	answer *plainAnswer
-	// mayHaveRun is true if an endpoint got the request and gave no answer.
+	// mayHaveRun is true if an endpoint received the request but gave no valid answer.
 	mayHaveRun bool
-	unreached  int
-	// lack says why no endpoint was chosen.
-	lack string
-	// retryAfter is when the caller may come back if the request has not run.
+	// unreached is the number of endpoints to which no connection was made.
+	unreached int
+	// noEndpoint is the reason why no endpoint could be chosen; empty if one was chosen each time.
+	noEndpoint string
+	// retryAfter is the Retry-After for the caller if the request has not run.
 	retryAfter time.Duration
 }
 
-// serveCall sends a request to endpoints until one answers, as often as its route allows.
+// serveCall sends a request to one endpoint after another until one answers, within the attempts of its route.
 func (srv *Server) serveCall(ctx context.Context, wri http.ResponseWriter, rqs *request) *refusal {
 	trs := &tries{retryAfter: fullRetry}
 	for again := true; again; {
 		again = srv.tryCall(ctx, rqs, trs)
 	}
 	if trs.answer != nil {
-		return srv.handOn(wri, rqs, trs.answer)
+		return srv.relayAnswer(wri, rqs, trs.answer)
 	}
 	return trs.refusal(ctx, rqs)
 }
 
-// refusal ends a request that got no answer.
+// refusal returns the gateway's response to a request that no endpoint answered.
 func (trs *tries) refusal(ctx context.Context, rqs *request) *refusal {
 	switch {
 	case rqs.http.Context().Err() != nil:
@@ -79,17 +81,17 @@
 		return expired("no answer before the deadline")
 	case trs.mayHaveRun:
 		return failed("the endpoint's answer was lost")
-	case trs.lack != "":
-		return notRun(trs.retryAfter, "no endpoint takes work: %s", trs.lack)
+	case trs.noEndpoint != "":
+		return notRun(trs.retryAfter, "no endpoint takes work: %s", trs.noEndpoint)
 	}
 	return notRun(trs.retryAfter, "endpoints refused the request or took no connection")
 }
 
-// tryCall sends the request once and reports whether it is to be sent again.
+// tryCall sends the request to one endpoint and reports whether it should be sent to another.
 func (srv *Server) tryCall(ctx context.Context, rqs *request, trs *tries) bool {
 	cho := srv.choose(srv.Now(), rqs, dispatch.Work{}, true)
 	if cho.Endpoint == nil {
-		trs.lack = cho.String()
+		trs.noEndpoint = cho.String()
 		return false
 	}
 	ans, res, err := srv.sendCall(ctx, rqs, cho.Endpoint)
@@ -100,11 +102,11 @@
 			return false
 		}
 	}
-	return srv.sendAgain(ctx, rqs, trs, res)
+	return srv.shouldRetry(ctx, rqs, trs, res)
 }
 
-// sendAgain notes the outcome of a send and reports whether the request may be sent to another endpoint.
-func (srv *Server) sendAgain(ctx context.Context, rqs *request, trs *tries, res outcome) bool {
+// shouldRetry records the outcome of a send and reports whether the request may be sent to another endpoint.
+func (srv *Server) shouldRetry(ctx context.Context, rqs *request, trs *tries, res outcome) bool {
 	switch res {
 	case outcomeUnreached:
 		trs.unreached++
@@ -127,16 +129,16 @@
 	}).Info("request sent")
 }
 
-// handOn writes an endpoint's answer to the caller.
-func (srv *Server) handOn(wri http.ResponseWriter, rqs *request, ans *plainAnswer) *refusal {
+// relayAnswer writes an endpoint's complete answer to the caller.
+func (srv *Server) relayAnswer(wri http.ResponseWriter, rqs *request, ans *plainAnswer) *refusal {
 	ans.write(wri, srv.Wire)
 	rqs.status = ans.response.StatusCode
 	srv.Metrics.calls.Observe(srv.Now().Sub(rqs.begun).Seconds())
 	return nil
 }
 
-// attempts is the number of endpoints to which the request may be sent.
-// An endpoint that refuses has not run the request, so a route for one endpoint allows another one then.
+// attempts returns the number of endpoints to which the request may be sent.
+// An endpoint that refused the request has not run it, so even a request that may run only once gets a second endpoint.
 func (srv *Server) attempts(rqs *request, res outcome) int {
 	if res == outcomeNotRun {
 		return max(2, rqs.route.Attempts)
@@ -144,7 +146,7 @@
 	return rqs.route.Attempts
 }
 
-// sendCall sends the request to an endpoint and reads the whole answer.
+// sendCall sends the request to an endpoint and reads the complete answer.
 func (srv *Server) sendCall(ctx context.Context, rqs *request, edp *catalog.Endpoint) (*plainAnswer, outcome, error) {
 	if rqs.route.Repeatable() && rqs.sends+1 < rqs.route.Attempts {
 		left := rqs.deadline.Sub(srv.Now())
@@ -185,12 +187,12 @@
 }
 
 var (
-	errUnsigned   = errors.New("the answer is not signed")
-	errOtherCall  = errors.New("the answer belongs to another request")
-	errNotOwnBody = errors.New("the answer's body is encoded")
+	errUnsigned    = errors.New("the answer is not signed")
+	errOtherCall   = errors.New("the answer belongs to another request")
+	errEncodedBody = errors.New("the answer's body is encoded")
 )
 
-// checkAnswer reports why an answer can't be handed on.
+// checkAnswer returns an error if an answer must not be relayed to the caller.
 func checkAnswer(rqs *request, ans Answer) error {
 	switch {
 	case !ans.Signed:
@@ -198,7 +200,7 @@
 	case ans.CallID != "" && ans.CallID != rqs.ID:
 		return errOtherCall
 	case ans.Encoded:
-		return errNotOwnBody
+		return errEncodedBody
 	}
 	return nil
 }
@@ -220,7 +222,7 @@
 	_, _ = wri.Write(ans.body)
 }
 
-// String names the outcome for the log.
+// String returns the outcome's name in logs and metrics.
 func (out outcome) String() string {
 	return [...]string{"answered", "notRun", "unreached", "unknown"}[out]
 }
--- a/gateway/prober.go
+++ b/gateway/prober.go
@@ -11,14 +11,15 @@
 )
 
 const (
-	// probeInterval is the time between two looks at an engine while the store is away; a notice is 1.5 s long.
+	// probeInterval is the interval at which an engine is probed while the store is unavailable; an engine's notice before
+	// it stops is 1.5 s long.
 	probeInterval = 250 * time.Millisecond
-	// storeSilence is how long no daemon has read the store when engines are asked themselves whether they leave.
+	// storeSilence is the time without a read of the store, by this daemon or a peer, after which engines are probed.
 	storeSilence = 1300 * time.Millisecond
 )
 
-// Prober asks engines whether they leave while the store can't tell. Each engine is asked by one daemon,
-// which tells the others.
+// Prober asks engines directly whether they leave while the store is unavailable. Each engine is probed by one daemon,
+// which broadcasts the result if the engine leaves.
 type Prober struct {
 	Name     string
 	Control  *Control
@@ -33,7 +34,7 @@
 	return &Prober{Now: time.Now}
 }
 
-// Run probes until the context ends.
+// Run probes engines until the context is cancelled.
 func (prb *Prober) Run(ctx context.Context) {
 	ticker := time.NewTicker(probeInterval)
 	defer ticker.Stop()
@@ -47,7 +48,7 @@
 		if snp.Catalog == nil || prb.Now().Sub(snp.StoreReadAt) < storeSilence {
 			continue
 		}
-		for _, edp := range probed(snp, prb.Name, prb.Exchange.Members()) {
+		for _, edp := range assignedEngines(snp, prb.Name, prb.Exchange.Members()) {
 			go prb.probe(ctx, edp)
 		}
 	}
@@ -66,8 +67,9 @@
 	prb.Exchange.ShareLeaving(bornAt)
 }
 
-// probed returns the engines that one of the members asks; members that know the same make the same division.
-func probed(snp *Snapshot, name string, members []string) []catalog.Endpoint {
+// assignedEngines returns the engines that the named member probes. Members with the same view of engines and members derive
+// the same assignment.
+func assignedEngines(snp *Snapshot, name string, members []string) []catalog.Endpoint {
 	var endpoints []catalog.Endpoint
 	for id, edp := range snp.Fleet.Endpoints {
 		_, leaving := snp.Fleet.Leaving[id]
--- a/gateway/scenario_test.go
+++ b/gateway/scenario_test.go
@@ -29,13 +29,13 @@
 	"papayacroft/standin"
 )
 
-// eventually bounds each wait of a script; scripts do not depend on how fast the machine is.
-const eventually = 20 * time.Second
+// stepTimeout limits each wait of a script. It is generous, so that scripts don't depend on the machine's speed.
+const stepTimeout = 20 * time.Second
 
-// loggedLines is the number of the daemons' last log lines that a failure shows.
+// loggedLines is the number of the last log lines of all daemons that a failed test prints.
 const loggedLines = 40
 
-// Each script in testdata names the failure that it guards against in its first line.
+// TestScenarios runs each script in testdata; the script's first line describes the required behaviour or the failure.
 func TestScenarios(t *testing.T) {
 	files, err := filepath.Glob("testdata/*.txtar")
 	if err != nil || len(files) == 0 {
@@ -59,7 +59,7 @@
 	}
 }
 
-// site is a store, endpoints, daemons and callers in one process.
+// site is the environment of one script: a store, endpoints, daemons and callers in one process.
 type site struct {
 	t       *testing.T
 	line    string
@@ -70,19 +70,19 @@
 	calls   map[string]*siteCall
 	logs    *safeBuffer
 	born    int64
-	// published is the newest configuration, exchanged the bytes between daemons when it was published.
+	// published is the newest configuration; exchanged is the value of traffic at the last markTraffic.
 	published []byte
 	exchanged int64
-	// delivered is the number of reads of each topic that had returned records then.
+	// delivered is the number of reads of each topic that had returned records at the last markTraffic.
 	delivered map[string]int
-	// idle is what each daemon exchanged a second in the window measured last, which ended at idleUntil.
+	// idle is the idle traffic in bytes a second and daemon, measured in a window that ended at idleUntil.
 	idle      float64
 	idleUntil time.Time
 }
 
 type siteEndpoint struct {
 	*standin.SiteEngine
-	// answering is what answers at the address, another endpoint after reuse.
+	// answering is the endpoint that answers at the address; after the command reuse it is another one.
 	answering atomic.Pointer[standin.SiteEngine]
 	server    *httptest.Server
 	service   string
@@ -94,7 +94,7 @@
 type siteDaemon struct {
 	*gateway.Daemon
 	caller, ready, metrics string
-	// denied is true while the store turns this daemon away.
+	// denied is true while the store refuses the requests of this daemon.
 	denied atomic.Bool
 	stop   context.CancelFunc
 	done   chan error
@@ -165,33 +165,33 @@
 			return
 		}
 	}
-	sit.fatalf("command %q does not exist", args[0])
+	sit.fatalf("unknown command %q", args[0])
 }
 
-// runSite runs commands for the store, the operator and daemons; it reports whether it knows the command.
+// runSite runs commands for the store, the operator and daemons; it returns false for other commands.
 func (sit *site) runSite(args []string) bool {
 	switch args[0] {
 	case "publish": // publish VERSION [without ROUTE|KEY]... [move ROUTE SERVICE] [routes COUNT]
 		sit.published = configuration(args[1], args[2:])
-		sit.mark()
+		sit.markTraffic()
 		sit.store.Put("keyed.op", "config", sit.published)
-	case "garbage": // garbage TOPIC KEY: a record that can't be read
+	case "garbage": // garbage TOPIC KEY: writes a record that can't be parsed
 		sit.store.Put(args[1], args[2], []byte(`{"service":7`))
-	case "compact": // compact TOPIC: the records of the topic go, the newest of each key stay
+	case "compact": // compact TOPIC: deletes the topic's records except the newest of each key
 		sit.store.Compact(args[1])
-	case "store": // store MODE
+	case "store": // store MODE: sets the fault mode of the store; up means none
 		sit.store.SetMode(standin.StoreMode(strings.ReplaceAll(args[1], "up", "")))
-	case "deny": // deny DAEMON: the store turns this daemon away from now on
+	case "deny": // deny DAEMON: the store refuses this daemon's requests from now on
 		sit.daemons[args[1]].denied.Store(true)
-	case "daemon": // daemon NAME DOMAIN
+	case "daemon": // daemon NAME DOMAIN: starts a daemon
 		sit.startDaemon(args[1], args[2])
-	case "daemons": // daemons COUNT DOMAIN: d1 and so on
+	case "daemons": // daemons COUNT DOMAIN: starts daemons d1, d2 and so on
 		for number := range sit.number(args[1]) {
 			sit.startDaemon(fmt.Sprintf("d%d", number+1), args[2])
 		}
-	case "stop": // stop DAEMON: a planned stop
+	case "stop": // stop DAEMON: begins a planned stop
 		sit.daemons[args[1]].stop()
-	case "stopped": // stopped DAEMON: it has ended
+	case "stopped": // stopped DAEMON: waits until the daemon has ended without an error
 		sit.await("the daemon to end", func() bool {
 			select {
 			case err := <-sit.daemons[args[1]].done:
@@ -208,28 +208,28 @@
 	return true
 }
 
-// runEndpoint runs commands for endpoints; it reports whether it knows the command.
+// runEndpoint runs commands for endpoints; it returns false for other commands.
 func (sit *site) runEndpoint(args []string) bool {
 	switch args[0] {
-	case "engine": // engine ID SERVICE DOMAIN [copy DURATION] [interval DURATION]
+	case "engine": // engine ID SERVICE DOMAIN [copy DURATION] [interval DURATION]: starts an endpoint
 		sit.startEngine(args[1:])
-	case "mode": // mode ENGINE MODE
+	case "mode": // mode ENGINE MODE: sets the fault mode of an endpoint; serves means none
 		sit.engines[args[1]].SetMode(standin.EngineMode(strings.ReplaceAll(args[2], "serves", "")))
-	case "drain": // drain ENGINE: its entry says that it drains
+	case "drain": // drain ENGINE: writes an entry with the state draining
 		sit.beat(args[1], "draining")
-	case "vanish": // vanish ENGINE: its entry is removed while it still serves
+	case "vanish": // vanish ENGINE: removes its entry while it still serves
 		sit.store.Put("keyed.servers", args[1], nil)
-	case "beat": // beat ENGINE: its entry as it is
+	case "beat": // beat ENGINE: writes its entry again with the state ready
 		sit.beat(args[1], "ready")
-	case "leaves": // leaves ENGINE: its own report says that it leaves
+	case "leaves": // leaves ENGINE: the engine's report says from now on that it leaves
 		sit.engines[args[1]].SetLeaves()
-	case "full": // full ENGINE: it takes no copies
+	case "full": // full ENGINE: it refuses copies from now on
 		sit.engines[args[1]].RefuseCopies()
-	case "reuse": // reuse ENGINE NEW: another endpoint answers at its address, while its entry stays
+	case "reuse": // reuse ENGINE NEW: another endpoint answers at its address; its entry remains
 		other := &siteEndpoint{SiteEngine: standin.NewSiteEngine(args[2]), server: sit.engines[args[1]].server}
 		sit.engines[args[1]].answering.Store(other.SiteEngine)
 		sit.engines[args[2]] = other
-	case "end": // end ENGINE: it is gone
+	case "end": // end ENGINE: stops it without notice and closes its connections
 		sit.engines[args[1]].Stop()
 		sit.engines[args[1]].server.CloseClientConnections()
 		_ = sit.engines[args[1]].server.Listener.Close()
@@ -239,16 +239,16 @@
 	return true
 }
 
-// runCaller runs commands for callers; it reports whether it knows the command.
+// runCaller runs commands for callers; it returns false for other commands.
 func (sit *site) runCaller(args []string) bool {
 	switch args[0] {
-	case "call": // call NAME DAEMON ROUTE [KEY]
+	case "call": // call NAME DAEMON ROUTE [KEY]: starts a plain request
 		sit.startCall(args[1], args[2], "/"+args[3]+"/x", args[4:])
-	case "stream": // stream NAME DAEMON ROUTE EVENTS [KEY]
+	case "stream": // stream NAME DAEMON ROUTE EVENTS [KEY]: starts a request for a stream of so many events
 		sit.startCall(args[1], args[2], "/"+args[3]+"/x?events="+args[4], args[5:])
-	case "poison": // poison NAME DAEMON ROUTE: always the same request
+	case "poison": // poison NAME DAEMON ROUTE: starts a request that has the same content each time
 		sit.startCall(args[1], args[2], "/"+args[3]+"/poison", nil)
-	case "leave": // leave CALL: the caller closes its connection
+	case "leave": // leave CALL: closes the caller's connection
 		sit.calls[args[1]].cancel()
 	default:
 		return false
@@ -256,20 +256,20 @@
 	return true
 }
 
-// runWait runs commands that wait for what is to come; it reports whether it knows the command.
+// runWait runs commands that wait for a condition; it returns false for other commands.
 func (sit *site) runWait(args []string) bool {
 	switch args[0] {
-	case "received": // received CALL COUNT: at least so many events have come
+	case "received": // received CALL COUNT: waits until the caller has received at least so many events
 		sit.await("events", func() bool { return len(sit.calls[args[1]].received()) >= sit.number(args[2]) })
-	case "begun": // begun CALL: an endpoint runs it
+	case "begun": // begun CALL: waits until an endpoint runs the request
 		sit.await("a run", func() bool { return len(sit.runs(args[1], nil)) > 0 })
-	case "until": // until DAEMON ROUTE STATUS [KEY]: calls get the status at last
+	case "until": // until DAEMON ROUTE STATUS [KEY]: sends calls until one gets the status
 		sit.await("status "+args[3], func() bool {
 			name := fmt.Sprintf("until%d", len(sit.calls))
 			sit.startCall(name, args[1], "/"+args[2]+"/x", args[4:])
 			return sit.finished(name).status == sit.number(args[3])
 		})
-	case "ready": // ready DAEMON STATUS
+	case "ready": // ready DAEMON STATUS: waits until the readiness check has the status
 		sit.await("readiness", func() bool {
 			res, err := http.Get("http://" + sit.daemons[args[1]].ready + "/")
 			if err != nil {
@@ -278,10 +278,10 @@
 			_ = res.Body.Close()
 			return res.StatusCode == sit.number(args[2])
 		})
-	case "logged": // logged TEXT...
+	case "logged": // logged TEXT...: waits until a daemon has logged the text
 		text := strings.Join(args[1:], " ")
 		sit.await("a log line", func() bool { return strings.Contains(sit.logs.String(), text) })
-	case "traced": // traced CALL TEXT...: the printed history of the call, as papayacroft trace shows it, has the text
+	case "traced": // traced CALL TEXT...: waits until the history of the call, as papayacroft trace prints it, has the text
 		text := strings.Join(args[2:], " ")
 		sit.await("a line of the history with "+text, func() bool {
 			lines, err := logline.Read(strings.NewReader(sit.logs.String()), func(*logline.Line) bool { return true })
@@ -298,15 +298,15 @@
 	return true
 }
 
-// checkAnswer runs commands that compare what callers got; it reports whether it knows the command.
+// checkAnswer runs commands that check the answers to callers; it returns false for other commands.
 func (sit *site) checkAnswer(args []string) bool {
 	switch args[0] {
-	case "status": // status CALL STATUS
+	case "status": // status CALL STATUS: the answer has the status
 		cal := sit.finished(args[1])
 		if got, want := cal.status, sit.number(args[2]); got != want {
 			sit.fatalf("got status %d (%s, %v), want %d", got, cal.body, cal.err, want)
 		}
-	case "complete": // complete CALL EVENTS: all events in order and the end of the stream
+	case "complete": // complete CALL EVENTS: the caller received so many events, once each, in order, and the regular end
 		cal := sit.finished(args[1])
 		for at, event := range cal.events {
 			if event != at+1 {
@@ -316,13 +316,13 @@
 		if got, want := len(cal.events), sit.number(args[2]); got != want || !cal.complete {
 			sit.fatalf("got %d events, complete %t (%v), want %d and complete", got, cal.complete, cal.err, want)
 		}
-	case "broken": // broken CALL: the answer does not look complete
+	case "broken": // broken CALL: the caller can detect that the answer is incomplete
 		if cal := sit.finished(args[1]); cal.complete {
 			sit.fatalf("got a complete answer of status %d, want a broken one", cal.status)
 		}
-	case "retryable": // retryable CALL: it may come back
+	case "retryable": // retryable CALL: the answer has a Retry-After
 		if cal := sit.finished(args[1]); cal.retryAfter == "" {
-			sit.fatalf("got no time to come back, want one")
+			sit.fatalf("got no Retry-After, want one")
 		}
 	default:
 		return false
@@ -330,18 +330,18 @@
 	return true
 }
 
-// checkRuns runs commands that compare what endpoints ran; it reports whether it knows the command.
+// checkRuns runs commands that check which requests endpoints ran; it returns false for other commands.
 func (sit *site) checkRuns(args []string) bool {
 	switch args[0] {
-	case "ran": // ran CALL COUNT [ENGINE]: runs that did not go on from a copy
+	case "ran": // ran CALL COUNT [ENGINE]: waits for exactly so many runs, without those continued from a copy
 		want := sit.number(args[2])
 		sit.await(fmt.Sprintf("%d runs", want), func() bool { return len(sit.runs(args[1], args[3:])) == want })
-	case "cut": // cut CALL: the endpoint noticed that the caller was gone
+	case "cut": // cut CALL: waits until the endpoint has detected that the connection was closed
 		sit.await("the endpoint to notice", func() bool {
 			runs := sit.runs(args[1], nil)
 			return len(runs) == 1 && runs[0].Cut
 		})
-	case "organisation": // organisation CALL NAME: what the endpoint was told, and no key
+	case "organisation": // organisation CALL NAME: the endpoint received this organisation and no key
 		for _, run := range sit.runs(args[1], nil) {
 			if run.Organisation != args[2] || run.Authorized {
 				sit.fatalf("got organisation %q, key passed on %t, want %q and no key", run.Organisation, run.Authorized, args[2])
@@ -355,9 +355,9 @@
 
 func (sit *site) await(what string, done func() bool) {
 	sit.t.Helper()
-	for until := time.Now().Add(eventually); !done(); time.Sleep(20 * time.Millisecond) {
+	for until := time.Now().Add(stepTimeout); !done(); time.Sleep(20 * time.Millisecond) {
 		if time.Now().After(until) {
-			sit.fatalf("%s did not come", what)
+			sit.fatalf("timed out waiting for %s", what)
 		}
 	}
 }
@@ -427,7 +427,7 @@
 	sit.store.Put("keyed.servers", id, entry)
 }
 
-// configuration has two services and a route for each kind of request.
+// configuration returns a configuration with two services and a route for each kind of request.
 func configuration(version string, changes []string) []byte {
 	without := map[string]bool{}
 	moved := map[string]string{}
@@ -489,14 +489,14 @@
 
 func (sit *site) startDaemon(name, domain string) {
 	one := &siteDaemon{done: make(chan error, 1)}
-	door := httptest.NewServer(http.HandlerFunc(func(wri http.ResponseWriter, req *http.Request) {
+	storeProxy := httptest.NewServer(http.HandlerFunc(func(wri http.ResponseWriter, req *http.Request) {
 		if one.denied.Load() {
 			wri.WriteHeader(http.StatusServiceUnavailable)
 			return
 		}
 		sit.store.ServeHTTP(wri, req)
 	}))
-	sit.t.Cleanup(door.CloseClientConnections)
+	sit.t.Cleanup(storeProxy.CloseClientConnections)
 	logger := logrus.New()
 	logger.SetOutput(sit.logs)
 	logger.SetFormatter(logline.NewFormatter(name))
@@ -506,7 +506,7 @@
 	}
 	set := &settings.Gateway{
 		Name: name, FailureDomain: domain, CallerAddress: addresses[0], ReadyAddress: addresses[1],
-		PeerAddress: addresses[2], MetricsAddress: addresses[3], StoreAddress: door.Listener.Addr().String(), DrainNotice: document.Duration(8 * time.Second),
+		PeerAddress: addresses[2], MetricsAddress: addresses[3], StoreAddress: storeProxy.Listener.Addr().String(), DrainNotice: document.Duration(8 * time.Second),
 		Retries: settings.RetryBudget{Ratio: 0.2, Extra: 50, Window: document.Duration(10 * time.Second)},
 		Log:     settings.Log{Level: "info", Format: "json"},
 	}
@@ -586,7 +586,7 @@
 	cal := sit.calls[name]
 	select {
 	case <-cal.done:
-	case <-time.After(eventually):
+	case <-time.After(stepTimeout):
 		sit.fatalf("call %s did not end", name)
 	}
 	return cal
--- a/gateway/server.go
+++ b/gateway/server.go
@@ -18,76 +18,77 @@
 )
 
 const (
-	// noCatalogRetry is when a caller may ask a daemon again that knows no configuration yet.
+	// noCatalogRetry is the Retry-After of a daemon that has no configuration yet.
 	noCatalogRetry = 500 * time.Millisecond
-	// drainingRetry is when a caller may come back, to another daemon, from one that is stopping.
+	// drainingRetry is the Retry-After of a draining daemon; the retry is expected to reach another daemon.
 	drainingRetry = 20 * time.Millisecond
-	// lastRequestTime is how long before the end of the process the last request is taken: a short stream on a
-	// busy engine takes 2.5 s.
+	// lastRequestTime is the time left before the process ends below which a draining daemon refuses new requests,
+	// unless their route has a shorter timeout: a short stream on a busy engine takes 2.5 s.
 	lastRequestTime = 3 * time.Second
-	// usualFirstEvent is the usual time to the first event of a generation.
+	// usualFirstEvent is the typical time to the first event of a generation.
 	usualFirstEvent = 500 * time.Millisecond
-	// endpointsWait is how long a request waits for the first endpoint after a start: the store answers in 4 ms.
+	// endpointsWait is how long a request waits, just after the daemon's start, until the first endpoints are read
+	// from the store: the store answers in 4 ms.
 	endpointsWait = 40 * time.Millisecond
 	endpointsPoll = 4 * time.Millisecond
-	// defaultDeadline bounds requests of routes without a timeout.
+	// defaultDeadline is the timeout of requests whose route has none.
 	defaultDeadline = time.Minute
-	// defaultMaxBodyBytes applies if the configuration has no limit.
+	// defaultMaxBodyBytes limits request bodies if the configuration has no limit.
 	defaultMaxBodyBytes = 4 << 20
-	// bodyTimeout bounds the time in which a caller sends its body.
+	// bodyTimeout limits the time for reading a request body from a caller.
 	bodyTimeout = 10 * time.Second
-	// answerMargin is how long before its deadline a request that has no answer is ended.
+	// answerMargin is how long before the caller's deadline the gateway ends a request that is still unanswered.
 	answerMargin = 20 * time.Millisecond
 )
 
-// Board gives the newest snapshot.
-type Board interface {
+// SnapshotSource provides the newest snapshot of configuration, endpoints and peers.
+type SnapshotSource interface {
 	Snapshot() *Snapshot
 }
 
-// Server handles callers' requests.
+// Server is the HTTP handler of callers' requests.
 type Server struct {
-	Board   Board
-	Wire    Wire
-	Engines Engines
-	Desk    *dispatch.Desk
-	Budget  *dispatch.Budget
-	// Suspects are requests that may crash endpoints.
+	Snapshots SnapshotSource
+	Wire      Wire
+	Engines   Engines
+	Desk      *dispatch.Desk
+	Budget    *dispatch.Budget
+	// Suspects counts the endpoint crashes that each request caused.
 	Suspects *dispatch.Suspects
 	Metrics  *Metrics
 	Logger   logrus.FieldLogger
 	Now      func() time.Time
-	// OnCrash, if set, learns of a request that crashed an endpoint.
+	// OnCrash, if set, is called when a request has crashed an endpoint.
 	OnCrash func(found crash)
-	// DrainNotice is the time from the signal to stop to the end of the process.
+	// DrainNotice is the time from the stop signal to the end of the process.
 	DrainNotice time.Duration
-	// HasNeighbour, if set, reports whether another daemon of the failure domain takes callers.
+	// HasNeighbour, if set, reports whether another daemon of the same failure domain accepts requests.
 	HasNeighbour func() bool
-	// OnWork, if set, learns that a generation was sent to an engine or has ended there; it must not block.
+	// OnWork, if set, is called when a generation was sent to an engine or has ended there; it must not block.
 	OnWork func(endpoint string)
 
-	// mutex guards the desk, the budget and the suspects.
+	// mutex guards Desk, Budget and Suspects.
 	mutex    sync.Mutex
 	inFlight atomic.Int64
-	// waiting is the number of streams that wait for room.
+	// waiting is the number of streams that wait for free capacity at an engine.
 	waiting atomic.Int64
 	sharing atomic.Pointer[sharing]
-	// drainingSince is the time of the signal to stop in Unix nanoseconds, 0 before.
+	// drainingSince is the time of the stop signal in Unix nanoseconds; 0 until the signal arrives.
 	drainingSince atomic.Int64
 	streams       *streams
 }
 
-// NewServer returns a server that uses the present time.
+// NewServer returns a server that uses the system clock.
 func NewServer() *Server {
 	return &Server{Now: time.Now, Desk: dispatch.NewDesk(), Budget: dispatch.NewBudget(), Suspects: dispatch.NewSuspects(), Metrics: NewMetrics(), streams: newStreams()}
 }
 
-// InFlight returns the number of requests being served.
+// InFlight returns the number of requests in flight.
 func (srv *Server) InFlight() int64 {
 	return srv.inFlight.Load()
 }
 
-// request is one caller's request on its way through the server.
+// request is the state of one caller's request while it is served.
 type request struct {
 	Call
 	http         *http.Request
@@ -101,11 +102,11 @@
 	logger       logrus.FieldLogger
 	excluded     map[string]bool
 	sends        int
-	// status is the status of the answer that was handed on, 0 if it broke off.
+	// status is the HTTP status of the answer that was relayed to the caller; 0 if the answer is incomplete.
 	status int
 }
 
-// kind is the kind of the request's route, for metrics.
+// kind returns the kind of the request's route as a metric label.
 func (rqs *request) kind() string {
 	if rqs.route == nil {
 		return "none"
@@ -143,18 +144,18 @@
 
 var (
 	errDeadline = errors.New("the request's deadline passed")
-	errSilent   = errors.New("the endpoint was silent")
+	errSilent   = errors.New("the endpoint did not answer before the retry time-out")
 )
 
-// admit finds the route and the organisation and reads the body.
+// admit matches the route, authenticates the caller, sets the deadline and reads the body.
 func (srv *Server) admit(now time.Time, wri http.ResponseWriter, rqs *request) *refusal {
-	snp := srv.Board.Snapshot()
+	snp := srv.Snapshots.Snapshot()
 	cat := snp.Catalog
 	switch {
 	case cat == nil:
 		return notRun(noCatalogRetry, "no configuration is known yet")
 	case len(snp.Fleet.Endpoints) == 0:
-		// Endpoints are read at the same time as the configuration; the answer is a moment away.
+		// After a start, the configuration and the endpoints are read concurrently, so endpoints should follow shortly.
 		srv.awaitEndpoints(rqs.http.Context())
 	}
 	rou := cat.Match(rqs.http.Host, rqs.http.URL.EscapedPath())
@@ -197,22 +198,23 @@
 	return nil
 }
 
-// awaitEndpoints waits until some endpoint is known, for a short time.
+// awaitEndpoints waits until at least one endpoint is known, for endpointsWait at most.
 func (srv *Server) awaitEndpoints(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, endpointsWait)
 	defer cancel()
-	for len(srv.Board.Snapshot().Fleet.Endpoints) == 0 && ctx.Err() == nil {
+	for len(srv.Snapshots.Snapshot().Fleet.Endpoints) == 0 && ctx.Err() == nil {
 		sleep(ctx, endpointsPoll)
 	}
 }
 
-// Draining reports whether the daemon is about to stop.
+// Draining reports whether the daemon has received the signal to stop.
 func (srv *Server) Draining() bool {
 	return srv.drainingSince.Load() != 0
 }
 
-// refuseDraining turns away generations that would hardly end before the daemon stops.
-// A caller that comes back reaches another daemon of the failure domain, or one elsewhere once the balancer has noticed.
+// refuseDraining refuses requests that would probably not complete before the daemon stops.
+// A retry reaches another daemon of the failure domain, or a daemon of another failure domain as soon as the load
+// balancer has taken this one out. A generation is accepted nevertheless if the retry would miss its target.
 func (srv *Server) refuseDraining(now time.Time, rou *catalog.Route) *refusal {
 	since := srv.drainingSince.Load()
 	if since == 0 {
@@ -257,7 +259,7 @@
 	return nil
 }
 
-// choose picks an endpoint for the request.
+// choose selects an endpoint for the request.
 func (srv *Server) choose(now time.Time, rqs *request, wrk dispatch.Work, force bool) dispatch.Choice {
 	return srv.decide(now, &dispatch.Request{
 		Service: rqs.service, Work: wrk, Target: rqs.route.Target, Excluded: rqs.excluded, Force: force, Brief: rqs.route.Resumable,
@@ -265,7 +267,7 @@
 }
 
 func (srv *Server) decide(now time.Time, req *dispatch.Request) dispatch.Choice {
-	snp := srv.Board.Snapshot()
+	snp := srv.Snapshots.Snapshot()
 	if shr := srv.sharing.Load(); shr != nil {
 		req.Preferred = shr.own
 	}
@@ -274,7 +276,7 @@
 	return srv.Desk.Choose(now, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())), snp.Catalog, snp.Fleet, req)
 }
 
-// outgoing builds the request to an endpoint.
+// outgoing builds the request that is sent to an endpoint.
 func (srv *Server) outgoing(rqs *request, fwd Forward) *Outgoing {
 	fwd.Organisation = rqs.organisation
 	fwd.Left = rqs.deadline.Sub(srv.Now())
@@ -284,7 +286,7 @@
 	}
 }
 
-// spend takes a repeat from the budget.
+// spend takes one retry from the retry budget and reports whether one was left.
 func (srv *Server) spend(rqs *request) bool {
 	srv.mutex.Lock()
 	defer srv.mutex.Unlock()
@@ -316,8 +318,9 @@
 	}
 }
 
-// noteSendError counts a send without an answer against the endpoint, unless the caller left or no time was left
-// to connect: a daemon that was frozen finds many such requests at once.
+// noteSendError records a failure of the endpoint if it gave no answer. It records none if the caller disconnected or
+// if the deadline passed before the connection was made: a daemon that was frozen has many such requests at once, and
+// they say nothing about the endpoint.
 func (srv *Server) noteSendError(ctx context.Context, id string, err error) {
 	var sendErr *SendError
 	if !errors.As(err, &sendErr) {
--- a/gateway/sharing.go
+++ b/gateway/sharing.go
@@ -8,19 +8,19 @@
 	"papayacroft/dispatch"
 )
 
-// engineUsers is the number of daemons that send generations to one engine. They tell each other at once;
-// With 8 the engines of one daemon were full at times while others had room.
+// engineUsers is the number of daemons that send generations to one engine; they notify each other of each change of
+// their work there. With 8, the engines of one daemon were full at times while other engines had free capacity.
 const engineUsers = 16
 
-// sharing divides the engines between the daemons.
+// sharing is the assignment of engines to the daemons that use them.
 type sharing struct {
 	signature uint64
-	// users has the daemons that use each engine, and own the engines that this daemon uses; own is nil for all.
+	// users has the daemons that use each engine. own has the engines that this daemon uses; nil means all engines.
 	users map[string][]string
 	own   map[string]bool
 }
 
-// newSharing divides the engines of a snapshot; it returns the old division if nothing changed.
+// newSharing assigns the engines of a snapshot to the members; it returns the old assignment if nothing has changed.
 func newSharing(old *sharing, snp *Snapshot, name string, members []string) *sharing {
 	signature := xxhash.Sum64String(name)
 	for _, one := range members {
--- a/gateway/stream.go
+++ b/gateway/stream.go
@@ -15,76 +15,78 @@
 )
 
 const (
-	// roomPoll is the time between two looks for room while a request waits.
-	roomPoll = 20 * time.Millisecond
-	// waitShare is the part of its target for which a stream waits for room; then its caller is told when to come
-	// back, early enough to be served in time.
+	// capacityPoll is the interval at which a waiting stream checks whether an engine has free capacity.
+	capacityPoll = 20 * time.Millisecond
+	// waitShare is the time for which a stream waits for free capacity, as a fraction of its target. Then it is refused
+	// with a Retry-After, early enough that a retry can still be on time.
 	waitShare = 0.11
-	// returnShare is that time as a part of the target.
-	returnShare = 0.35
-	// headShare is the part of its target after which a stream that may be repeated is tried at another engine.
+	// retryAfterShare is the Retry-After of a refused stream as a fraction of its target.
+	retryAfterShare = 0.35
+	// headShare is the time, as a fraction of the target, after which a repeatable stream that has no response head yet
+	// is retried at another engine.
 	headShare = 1.6
-	// moveWait is how long a broken stream waits for the result of its move.
+	// moveWait is how long a broken stream waits for the result of a move of its generation that is in progress.
 	moveWait = 2 * time.Second
-	// silenceLimit is the pause after which a stream that may be resumed goes on at another engine.
+	// silenceLimit is the time without events after which a resumable stream is continued at another engine;
+	// firstEventTimeout allows more until the first event.
 	silenceLimit = 1200 * time.Millisecond
 )
 
-// run is a generation whose events are relayed to a caller.
+// run is one generation whose events are relayed to a caller; several engines may serve it in succession.
 type run struct {
 	*request
 	server  *Server
 	writer  http.ResponseWriter
 	control *http.ResponseController
 	work    dispatch.Work
-	// movable is true if the generation's memory can be copied to another engine.
+	// movable is true if the generation's KV memory can be copied to another engine.
 	movable bool
 
 	link     *Link
 	flight   *dispatch.Flight
 	endpoint *catalog.Endpoint
-	// header is true once the caller has the head of the answer.
+	// header is true once the response head was written to the caller.
 	header bool
-	// firstAt and lastAt are the times of the first and the newest event, pause is the longest between two.
+	// firstAt and lastAt are the times of the first and the latest event; pause is the longest gap between two events.
 	firstAt, lastAt time.Time
 	pause           time.Duration
 
-	// mutex guards what the relay and the move share.
+	// mutex guards the fields below, which the relaying and the moving goroutine share.
 	mutex     sync.Mutex
 	events    int
 	lastEvent string
 	moving    chan struct{}
-	copy      *copyAt
+	copy      *memoryCopy
 }
 
-// copyAt names a copy of the generation's memory and the engine that holds it.
-type copyAt struct {
+// memoryCopy identifies a copy of a generation's memory and the engine that holds it.
+type memoryCopy struct {
 	endpoint *catalog.Endpoint
 	name     string
 }
 
-// serveStream relays a stream, over several engines if need be.
+// serveStream relays a stream to the caller; if an engine fails, it resumes the stream at another one where possible.
 func (srv *Server) serveStream(ctx context.Context, wri http.ResponseWriter, rqs *request) *refusal {
 	rqs.logger.WithFields(logrus.Fields{"prompt": rqs.PromptTokens, "maxTokens": rqs.MaxTokens, "hint": rqs.LengthHint}).Debug("stream")
 	one := &run{request: rqs, server: srv, writer: wri, control: http.NewResponseController(wri), work: expectedWork(rqs)}
 	one.lastEvent = rqs.LastEvent
-	engine := srv.Board.Snapshot().Catalog.Services[rqs.service].Engine
+	engine := srv.Snapshots.Snapshot().Catalog.Services[rqs.service].Engine
 	one.movable = engine != nil && engine.Moves && !rqs.route.Resumable
 	ref := one.start(ctx)
 	if ref != nil || one.link == nil {
 		return ref
 	}
-	defer func() { one.leave() }()
+	defer func() { one.detach() }()
 	for {
 		err := one.relay()
 		if err == nil {
 			return nil
 		}
 		if rqs.http.Context().Err() != nil {
-			rqs.logger.WithField("events", one.events).Info("caller left the stream")
+			rqs.logger.WithField("events", one.events).Info("caller disconnected during the stream")
 			return nil
 		}
-		rqs.logger.WithError(err).WithFields(logrus.Fields{fieldEndpoint: one.endpoint.ID, "events": one.events}).Info("stream broke off")
+		rqs.logger.WithError(err).WithFields(logrus.Fields{fieldEndpoint: one.endpoint.ID, "events": one.events}).Info("stream interrupted")
 		if !one.isMoving() {
 			srv.checkCrash(ctx, rqs, one.endpoint)
 		}
@@ -99,24 +101,24 @@
 		}
 		rqs.logger.WithFields(logrus.Fields{"events": one.events, fieldElapsed: srv.Now().Sub(rqs.begun)}).Warn("stream ended early")
 		srv.Metrics.requests.WithLabelValues(rqs.kind(), "0").Inc()
-		// The caller must not take the answer for complete.
+		// Abort the connection, so that the caller does not take the truncated stream for a complete one.
 		panic(http.ErrAbortHandler)
 	}
 }
 
-// usualOutputShare is the mean length of an output as a part of the longest one. Callers' estimates are right at the
-// median only; sums of many generations are closer to the mean.
+// usualOutputShare is the mean output length as a fraction of the requested maximum. The callers' own estimates are
+// not used: they match the median, while the memory of many generations together is closer to the sum of means.
 const usualOutputShare = 0.4
 
-// expectedWork is what a generation is expected to need.
+// expectedWork returns the memory and prefill that a generation is expected to need.
 func expectedWork(rqs *request) dispatch.Work {
 	output := int(usualOutputShare * float64(rqs.MaxTokens))
 	return dispatch.Work{Tokens: rqs.PromptTokens + output, Prefill: rqs.PromptTokens}
 }
 
-// start sends the request to engines until one begins to answer.
+// start sends the request to one engine after another until one begins to answer.
 func (one *run) start(ctx context.Context) *refusal {
-	trs := &tries{retryAfter: max(fullRetry, time.Duration(returnShare*float64(one.route.Target)))}
+	trs := &tries{retryAfter: max(fullRetry, time.Duration(retryAfterShare*float64(one.route.Target)))}
 	for again := true; again; {
 		again = one.tryStart(ctx, trs)
 	}
@@ -124,16 +126,16 @@
 	case one.link != nil:
 		return one.checkHead()
 	case trs.answer != nil:
-		return one.server.handOn(one.writer, one.request, trs.answer)
+		return one.server.relayAnswer(one.writer, one.request, trs.answer)
 	}
 	return trs.refusal(ctx, one.request)
 }
 
-// tryStart sends the request once and reports whether it is to be sent again.
+// tryStart sends the request to one engine and reports whether it should be sent to another.
 func (one *run) tryStart(ctx context.Context, trs *tries) bool {
-	cho := one.await(ctx)
+	cho := one.awaitCapacity(ctx)
 	if cho.Endpoint == nil {
-		trs.lack = cho.String()
+		trs.noEndpoint = cho.String()
 		return false
 	}
 	res, err := one.open(ctx, cho.Endpoint, Forward{LastEvent: one.LastEvent})
@@ -146,16 +148,16 @@
 		return false
 	}
 	if res == outcomeAnswered {
-		trs.answer = one.takeFailure()
+		trs.answer = one.readFailure()
 	}
-	return one.server.sendAgain(ctx, one.request, trs, res)
+	return one.server.shouldRetry(ctx, one.request, trs, res)
 }
 
-// takeFailure reads an engine's own failure, which is handed on if no other engine does better.
-func (one *run) takeFailure() *plainAnswer {
+// readFailure reads an engine's 5xx answer, which is relayed to the caller if no other engine succeeds.
+func (one *run) readFailure() *plainAnswer {
 	res := one.link.Response
 	body, err := io.ReadAll(io.LimitReader(res.Body, maxPlainBytes))
-	one.leave()
+	one.detach()
 	one.link = nil
 	if err != nil {
 		return nil
@@ -163,8 +165,8 @@
 	return &plainAnswer{response: res, body: body}
 }
 
-// await chooses an engine, waiting for room for a part of the request's target.
-func (one *run) await(ctx context.Context) dispatch.Choice {
+// awaitCapacity chooses an engine; if all are full, it waits for free capacity for waitShare of the request's target.
+func (one *run) awaitCapacity(ctx context.Context) dispatch.Choice {
 	rqs := one.request
 	until := rqs.begun.Add(time.Duration(waitShare * float64(rqs.route.Target)))
 	one.server.waiting.Add(1)
@@ -175,11 +177,11 @@
 		if cho.Endpoint != nil || cho.Reason != dispatch.ReasonFull || ctx.Err() != nil || !now.Before(until) {
 			return cho
 		}
-		sleep(ctx, roomPoll)
+		sleep(ctx, capacityPoll)
 	}
 }
 
-// open sends the request to an engine and reads the head of its answer.
+// open sends the request to an engine and reads the head of its answer; on success it becomes the run's engine.
 func (one *run) open(ctx context.Context, edp *catalog.Endpoint, fwd Forward) (outcome, error) {
 	srv, rqs := one.server, one.request
 	fwd.Endpoint, fwd.Priority = edp.ID, rqs.rank
@@ -222,23 +224,23 @@
 	return outcomeAnswered, nil
 }
 
-// checkHead hands on an answer that is not a stream.
+// checkHead relays an answer whose status is not 200 as a plain answer; it does nothing if the answer is a stream.
 func (one *run) checkHead() *refusal {
 	res := one.link.Response
 	if res.StatusCode == http.StatusOK {
 		return nil
 	}
-	defer one.leave()
+	defer one.detach()
 	body, err := io.ReadAll(io.LimitReader(res.Body, maxPlainBytes))
 	one.link = nil
 	if err != nil {
 		return failed("the engine's answer broke off: %v", err)
 	}
-	return one.server.handOn(one.writer, one.request, &plainAnswer{response: res, body: body})
+	return one.server.relayAnswer(one.writer, one.request, &plainAnswer{response: res, body: body})
 }
 
-// leave ends the connection to the present engine.
-func (one *run) leave() {
+// detach closes the connection to the current engine and ends the flight there.
+func (one *run) detach() {
 	if one.endpoint == nil {
 		return
 	}
@@ -250,12 +252,12 @@
 	one.endpoint = nil
 }
 
-// relay hands on events until the stream ends; it returns nil if the stream is complete.
+// relay forwards events to the caller until the stream ends; it returns nil if the stream is complete.
 func (one *run) relay() error {
 	reader := newEventReader(one.link.Response)
 	for {
 		if one.route.Resumable {
-			one.link.SetReadDeadline(one.server.Now().Add(max(silenceLimit, one.silence())))
+			one.link.SetReadDeadline(one.server.Now().Add(max(silenceLimit, one.firstEventTimeout())))
 		}
 		events, err := reader.next()
 		if len(events) > 0 {
@@ -271,8 +273,8 @@
 	}
 }
 
-// silence is how long the engine may take until its first event.
-func (one *run) silence() time.Duration {
+// firstEventTimeout returns the time limit for an engine's first event; it is 0 once an event has arrived.
+func (one *run) firstEventTimeout() time.Duration {
 	if one.events > 0 {
 		return 0
 	}
@@ -298,7 +300,7 @@
 	return one.control.Flush()
 }
 
-// observe notes the time of new events.
+// observe records the time at which events arrived, for metrics.
 func (one *run) observe(now time.Time) {
 	if one.firstAt.IsZero() {
 		one.firstAt = now
@@ -320,7 +322,7 @@
 	one.writer.WriteHeader(one.link.Response.StatusCode)
 }
 
-// finish ends a complete stream.
+// finish records metrics and the log line of a complete stream.
 func (one *run) finish() error {
 	one.writeHead()
 	one.status = one.link.Response.StatusCode
@@ -335,7 +337,8 @@
 	return nil
 }
 
-// resume goes on with the generation at another engine and reports whether it could.
+// resume continues the generation at another engine and reports whether that worked. It uses the copy of a move if
+// there is one; otherwise it sends a repeatable request to another engine.
 func (one *run) resume(ctx context.Context) bool {
 	if cpy := one.awaitMove(ctx); cpy != nil {
 		if one.reopen(ctx, cpy.endpoint, Forward{Copy: cpy.name}) {
@@ -350,10 +353,10 @@
 	return cho.Endpoint != nil && one.reopen(ctx, cho.Endpoint, Forward{})
 }
 
-// reopen sends the request again so that the stream goes on after its last event.
+// reopen sends the request to an engine, to continue the stream after the last event that the caller has received.
 func (one *run) reopen(ctx context.Context, edp *catalog.Endpoint, fwd Forward) bool {
 	last := one.endpoint
-	one.leave()
+	one.detach()
 	one.mutex.Lock()
 	fwd.LastEvent = one.lastEvent
 	one.moving, one.copy = nil, nil
@@ -374,15 +377,15 @@
 	return status == http.StatusOK
 }
 
-// isMoving reports whether the generation is being copied off its engine.
+// isMoving reports whether a move of the generation to another engine has begun.
 func (one *run) isMoving() bool {
 	one.mutex.Lock()
 	defer one.mutex.Unlock()
 	return one.moving != nil
 }
 
-// awaitMove returns the copy that the stream's move left, if there is one.
-func (one *run) awaitMove(ctx context.Context) *copyAt {
+// awaitMove waits for a move in progress and returns the copy that it made; nil if there is none.
+func (one *run) awaitMove(ctx context.Context) *memoryCopy {
 	one.mutex.Lock()
 	moving := one.moving
 	one.mutex.Unlock()
