--- a/gateway/feed.go
+++ b/gateway/feed.go
@@ -187,7 +187,8 @@
 	fed.share(now, next, records)
 }
 
-// share sends what was read to the peers: at once if there are records, otherwise at most every emptyInterval.
+// share sends what was read to the peers: at once if there are records to share, otherwise at most every
+// emptyInterval.
 func (fed *Feed) share(now time.Time, next int64, records []Record) {
 	if len(records) == 0 && now.Sub(fed.sharedAt) < emptyInterval {
 		return
@@ -196,8 +197,8 @@
 	fed.shared, fed.sharedAt = next, now
 }
 
-// applyPart applies a part that a peer read and postpones this daemon's own read. If parts before it are missing, it makes
-// this daemon read them soon.
+// applyPart applies a part that a peer read and postpones this daemon's own read. If parts before it are missing, it
+// makes this daemon read them soon.
 func (fed *Feed) applyPart(ctx context.Context, part *TopicPart) {
 	defer fed.pending.Add(-1)
 	now := fed.Now()
--- a/gateway/move.go
+++ b/gateway/move.go
@@ -12,7 +12,8 @@
 )
 
 const (
-	// moveTimeout limits all copies of one generation to one destination, which queue behind other copies on the same links.
+	// moveTimeout limits the time for all copies of one generation to one destination; they may queue behind other copies
+	// on the same links.
 	moveTimeout = 2500 * time.Millisecond
 	// shortCopy is the excess over the expected copy time below which the final copy may follow: it then pauses the
 	// generation for less than half of the longest pause that is on time (180 ms).
--- a/gateway/server.go
+++ b/gateway/server.go
@@ -212,9 +212,10 @@
 	return srv.drainingSince.Load() != 0
 }
 
-// refuseDraining refuses requests that would probably not complete before the daemon stops.
+// refuseDraining refuses requests that would probably not complete before the daemon stops: all requests shortly before
+// its end, and before that the streams that can't be resumed, unless a retry would miss their target.
 // A retry reaches another daemon of the failure domain, or a daemon of another failure domain as soon as the load
-// balancer has taken this one out. A generation is accepted nevertheless if the retry would miss its target.
+// balancer has taken this one out.
 func (srv *Server) refuseDraining(now time.Time, rou *catalog.Route) *refusal {
 	since := srv.drainingSince.Load()
 	if since == 0 {
--- a/gateway/stream.go
+++ b/gateway/stream.go
@@ -39,7 +39,7 @@
 	writer  http.ResponseWriter
 	control *http.ResponseController
 	work    dispatch.Work
-	// movable is true if the generation's KV memory can be copied to another engine.
+	// movable is true if the generation's memory can be copied to another engine.
 	movable bool
 
 	link     *Link
@@ -107,7 +107,7 @@
 }
 
 // usualOutputShare is the mean output length as a fraction of the requested maximum. The callers' own estimates are
-// not used: they match the median, while the memory of many generations together is closer to the sum of means.
+// not used: they are right in the median only, while the sum over many generations is closer to the mean.
 const usualOutputShare = 0.4
 
 // expectedWork returns the memory and prefill that a generation is expected to need.
@@ -384,7 +384,7 @@
 	return one.moving != nil
 }
 
-// awaitMove waits for a move in progress and returns the copy that it made; nil if there is none.
+// awaitMove waits for a move in progress, for moveWait at most, and returns the copy that it made; nil if there is none.
 func (one *run) awaitMove(ctx context.Context) *memoryCopy {
 	one.mutex.Lock()
 	moving := one.moving
