--- a/catalog/catalog.go
+++ b/catalog/catalog.go
@@ -1,4 +1,4 @@
-// Package catalog holds a published configuration and the endpoints that registered for its services.
+// Package catalog holds a published configuration and the state of the endpoints that registered for its services.
 package catalog
 
 import (
@@ -7,23 +7,27 @@
 	"time"
 )
 
-// Kind says how often a request may run.
+// Kind is the kind of a route; it determines whether a request may run more than once.
 type Kind string
 
 // The kinds of routes.
 const (
+	// KindIdempotent is for requests that may run more than once.
 	KindIdempotent Kind = "idempotent"
-	KindOnce       Kind = "once"
-	KindStream     Kind = "stream"
+	// KindOnce is for requests that must run at most once.
+	KindOnce Kind = "once"
+	// KindStream is for requests that are answered with a stream of events; they may run again only
+	// if the route is resumable.
+	KindStream Kind = "stream"
 )
 
-// Share is one service of a route and its part of the route's requests.
+// Share is one service of a route, with a weight in proportion to which it receives the route's requests.
 type Share struct {
 	Service string
 	Weight  float64
 }
 
-// Route says where the requests of a host and path prefix go.
+// Route describes how requests with a host and path prefix are served.
 type Route struct {
 	Name       string
 	Host       string
@@ -31,19 +35,19 @@
 	Kind       Kind
 	// Shares are the services that serve the route; there is at least one.
 	Shares []Share
-	// Timeout bounds the time until a request is answered.
+	// Timeout is the longest time until a request is answered.
 	Timeout time.Duration
-	// Target is the time within which an answer, or the first event of a stream, is on time.
+	// Target is the latency target of a response, or of the first event of a stream.
 	Target time.Duration
-	// PauseTarget is the longest pause between two events of a stream that is on time.
+	// PauseTarget is the target for the longest pause between two events of a stream.
 	PauseTarget time.Duration
-	// Priority is the rank of the route's requests; 0 goes first.
+	// Priority is the priority of the route's requests; 0 is the highest.
 	Priority int
-	// Attempts is the number of endpoints to which one request may be sent.
+	// Attempts is the largest number of endpoints to which one request may be sent.
 	Attempts int
-	// Public routes take requests without a key.
+	// Public routes accept requests without a key.
 	Public bool
-	// Resumable streams may go on at another endpoint after the last event that was received.
+	// Resumable streams may continue at another endpoint after the last event that was received.
 	Resumable bool
 }
 
@@ -55,23 +59,24 @@
 // Engine describes the model engines of a service.
 type Engine struct {
 	Slots int
-	// CapacityTokens is the memory for prompts and generated tokens.
+	// CapacityTokens is the number of prompt tokens and generated tokens for which an engine has memory.
 	CapacityTokens int
 	// TokensPerEvent is the number of tokens that one event of a stream holds.
 	TokensPerEvent int
-	// Moves and Backups tell whether the memory of a running generation can be copied on request, or as it grows.
+	// Moves says whether an engine can copy the memory of a running generation on request, and Backups whether it can
+	// copy it continuously as it grows.
 	Moves, Backups bool
-	// TokenBytes is the size of one token's memory, and LinkBytesPerSecond the speed at which copies are sent.
+	// TokenBytes is the memory of one token, and LinkBytesPerSecond the speed at which engines send copies.
 	TokenBytes, LinkBytesPerSecond float64
-	// CopyLifetime is how long an engine keeps a copy that nobody uses.
+	// CopyLifetime is the time after which an engine deletes an unused copy.
 	CopyLifetime time.Duration
 }
 
-// distantCopyFactor is how much longer a copy takes to an engine in another failure domain.
+// distantCopyFactor is the factor by which a copy to an engine in another failure domain takes longer.
 const distantCopyFactor = 2
 
-// CopyTime is the time to copy the memory of some tokens over an idle link; 0 if the engine is nil,
-// as that of a service which a newer version lacks.
+// CopyTime returns the time to copy the memory of a number of tokens over an idle link. It returns 0 for a nil engine:
+// a newer configuration may no longer contain the service of a running generation.
 func (eng *Engine) CopyTime(tokens int, distant bool) time.Duration {
 	if eng == nil || eng.LinkBytesPerSecond <= 0 {
 		return 0
@@ -83,7 +88,7 @@
 	return time.Duration(seconds * float64(time.Second))
 }
 
-// EventTokens is the number of tokens that some events of a stream hold.
+// EventTokens returns the number of tokens in a number of events of a stream; for a nil engine an event is one token.
 func (eng *Engine) EventTokens(events int) int {
 	if eng == nil {
 		return events
@@ -96,11 +101,11 @@
 	Name           string
 	HealthPath     string
 	MaxConnections int
-	// Engine is nil for plain services.
+	// Engine describes the model engines; it is nil for plain services.
 	Engine *Engine
 }
 
-// Limits bound what a caller may send.
+// Limits holds the size limits and time-outs for the connections of callers.
 type Limits struct {
 	MaxHeaderBytes int
 	MaxBodyBytes   int64
@@ -108,7 +113,7 @@
 	IdleTimeout    time.Duration
 }
 
-// Organisation is the holder of some keys.
+// Organisation is a group of callers that is identified by its API keys.
 type Organisation struct {
 	Name string
 	// Priority replaces the priority of routes if HasPriority is set.
@@ -117,14 +122,14 @@
 	Keys        []string
 }
 
-// Catalog is one version of the configuration with indexes for requests.
+// Catalog is one version of the configuration, indexed by host and by key.
 type Catalog struct {
 	Version       int64
 	Routes        []Route
 	Services      map[string]Service
 	Organisations []Organisation
 	Limits        Limits
-	// Raw is the published document, which daemons hand to each other.
+	// Raw is the published document, which daemons send to each other.
 	Raw []byte
 
 	byHost map[string][]*Route
@@ -152,7 +157,7 @@
 	return cat
 }
 
-// Match returns the route of the host with the longest prefix of the path, or nil.
+// Match returns the route of the host whose path prefix is the longest that matches the path, or nil.
 func (cat *Catalog) Match(host, path string) *Route {
 	if name, _, err := net.SplitHostPort(host); err == nil {
 		host = name
--- a/catalog/fleet.go
+++ b/catalog/fleet.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// State is what an endpoint says of itself.
+// State is the state that an endpoint reports in its entry in the store.
 type State string
 
 // The states of an endpoint.
@@ -14,7 +14,7 @@
 	StateDraining State = "draining"
 )
 
-// Endpoint is one start of an endpoint as it registered itself.
+// Endpoint is the entry by which one incarnation of an endpoint registered in the store.
 type Endpoint struct {
 	ID            string
 	Service       string
@@ -22,83 +22,87 @@
 	FailureDomain string
 	State         State
 	Slots         int
-	// BornAt is the start of the endpoint in Unix milliseconds; a restart under the same id has a later one.
+	// BornAt is the time at which this incarnation started, in Unix milliseconds. It identifies the incarnation: after a
+	// restart under the same id it is greater.
 	BornAt int64
-	// WarmAt is when the endpoint stops being slow after its start.
+	// WarmAt is the time from which the endpoint has its full speed; it is slow until then, after a start.
 	WarmAt time.Time
 }
 
-// SameAs reports whether two entries say the same but for the time at which the endpoint is warm.
+// SameAs reports whether two entries are equal apart from WarmAt.
 func (edp *Endpoint) SameAs(other *Endpoint) bool {
 	one, two := *edp, *other
 	one.WarmAt, two.WarmAt = time.Time{}, time.Time{}
 	return one == two
 }
 
-// Mark is a sign that one start of an endpoint leaves.
+// Mark records that one incarnation of an endpoint is leaving, and since when this daemon has known.
 type Mark struct {
 	At     time.Time
 	BornAt int64
 }
 
-// lapseGrace is how long after an outage of the store the endpoints have to register again.
-const lapseGrace = 2500 * time.Millisecond
+// outageGrace is the time that endpoints have to register again after an outage of the store. Until then the daemon does
+// not act on removed entries, which may have expired only because endpoints could not renew them.
+const outageGrace = 2500 * time.Millisecond
 
-// Fleet is what a daemon believes of the endpoints.
-// Entries that lapse while the store is away stay until the endpoints had time to register again.
+// Fleet is a daemon's view of the endpoints.
+// Entries that expire during an outage of the store are kept until the endpoints had time to register again.
 type Fleet struct {
 	Endpoints map[string]Endpoint
-	// Leaving has what the daemon first learnt of an endpoint that drains or is gone.
+	// Leaving holds, by endpoint id, the first mark of each endpoint that drains or whose entry was removed.
 	Leaving map[string]Mark
 
-	// missing holds entries removed during an outage and the time until which they may come back.
-	missing map[string]time.Time
-	// unsettled is the time until which removals may be an effect of an outage.
-	unsettled time.Time
+	// pendingRemovals holds, by endpoint id, the time at which an entry that was removed during an outage is dropped
+	// unless the endpoint has registered again.
+	pendingRemovals map[string]time.Time
+	// graceUntil is the time until which the removal of an entry may be an effect of an outage.
+	graceUntil time.Time
 }
 
 // NewFleet returns a fleet without endpoints.
 func NewFleet() *Fleet {
-	return &Fleet{Endpoints: map[string]Endpoint{}, Leaving: map[string]Mark{}, missing: map[string]time.Time{}}
+	return &Fleet{Endpoints: map[string]Endpoint{}, Leaving: map[string]Mark{}, pendingRemovals: map[string]time.Time{}}
 }
 
-// Outage notes that the store could not be read; entries that lapse about now are not trusted to be gone.
+// Outage records that the store could not be read. Removals of entries are delayed for outageGrace from then on.
 func (flt *Fleet) Outage(now time.Time) {
-	flt.unsettled = now.Add(lapseGrace)
+	flt.graceUntil = now.Add(outageGrace)
 }
 
-// Put takes in the newest entry of an endpoint.
+// Put applies the newest entry of an endpoint; it ignores entries of earlier incarnations.
 func (flt *Fleet) Put(now time.Time, edp Endpoint) {
 	old, known := flt.Endpoints[edp.ID]
 	if known && edp.BornAt < old.BornAt {
 		return
 	}
-	delete(flt.missing, edp.ID)
+	delete(flt.pendingRemovals, edp.ID)
 	flt.Endpoints[edp.ID] = edp
 	switch {
 	case edp.State == StateDraining:
-		flt.leave(now, edp.ID, edp.BornAt)
+		flt.recordLeaving(now, edp.ID, edp.BornAt)
 	case !known || edp.BornAt > old.BornAt || old.State == StateDraining:
 		delete(flt.Leaving, edp.ID)
 	}
 }
 
-// Remove takes out an endpoint whose entry is gone.
+// Remove drops an endpoint whose entry was removed from the store. Shortly after an outage it only schedules the
+// removal of an endpoint that is ready.
 func (flt *Fleet) Remove(now time.Time, id string) {
 	edp, known := flt.Endpoints[id]
 	if !known {
 		return
 	}
-	if now.Before(flt.unsettled) && edp.State == StateReady {
-		if _, ok := flt.missing[id]; !ok {
-			flt.missing[id] = flt.unsettled
+	if now.Before(flt.graceUntil) && edp.State == StateReady {
+		if _, ok := flt.pendingRemovals[id]; !ok {
+			flt.pendingRemovals[id] = flt.graceUntil
 		}
 		return
 	}
 	flt.drop(now, id)
 }
 
-// Replace takes in all entries at once; endpoints that are not among them are gone.
+// Replace applies a full list of entries: it removes the endpoints that the list does not contain.
 func (flt *Fleet) Replace(now time.Time, endpoints []Endpoint) {
 	listed := map[string]bool{}
 	for _, edp := range endpoints {
@@ -112,60 +116,64 @@
 	}
 }
 
-// MarkLeaving notes a sign that an endpoint leaves, from the endpoint or a peer; it reports whether that is news.
-// A sign of an earlier start under the same id counts for nothing.
+// MarkLeaving records a report by the endpoint or by a peer that an endpoint is leaving. It returns false and changes
+// nothing if the endpoint is marked already or the report is about an earlier incarnation under the same id.
 func (flt *Fleet) MarkLeaving(now time.Time, id string, bornAt int64) bool {
 	if _, known := flt.Leaving[id]; known || flt.Endpoints[id].BornAt > bornAt {
 		return false
 	}
-	flt.leave(now, id, bornAt)
+	flt.recordLeaving(now, id, bornAt)
 	return true
 }
 
-// Settle drops the endpoints that did not come back after an outage, and old marks.
+// Settle drops the endpoints that did not register again in time after an outage. It also deletes expired marks of
+// endpoints without an entry.
 func (flt *Fleet) Settle(now time.Time) {
-	for id, until := range flt.missing {
-		if until.Before(flt.unsettled) {
-			flt.missing[id] = flt.unsettled
+	for id, until := range flt.pendingRemovals {
+		if until.Before(flt.graceUntil) {
+			flt.pendingRemovals[id] = flt.graceUntil
 		} else if !now.Before(until) {
 			flt.drop(now, id)
 		}
 	}
 	for id, mrk := range flt.Leaving {
-		if _, listed := flt.Endpoints[id]; !listed && now.Sub(mrk.At) > leavingMemory {
+		if _, listed := flt.Endpoints[id]; !listed && now.Sub(mrk.At) > leavingRetention {
 			delete(flt.Leaving, id)
 		}
 	}
 }
 
-// leavingMemory is how long the mark of an endpoint without an entry is kept, well beyond any drain.
-const leavingMemory = time.Minute
+// leavingRetention is the time for which the mark of an endpoint without an entry is kept; it is well above the duration
+// of any drain.
+const leavingRetention = time.Minute
 
-func (flt *Fleet) leave(now time.Time, id string, bornAt int64) {
+// recordLeaving marks an endpoint as leaving unless it has a mark for the same or a later incarnation.
+func (flt *Fleet) recordLeaving(now time.Time, id string, bornAt int64) {
 	if mrk, known := flt.Leaving[id]; !known || mrk.BornAt < bornAt {
 		flt.Leaving[id] = Mark{At: now, BornAt: bornAt}
 	}
 }
 
+// drop removes the entry of an endpoint and marks the endpoint as leaving.
 func (flt *Fleet) drop(now time.Time, id string) {
 	bornAt := flt.Endpoints[id].BornAt
-	delete(flt.missing, id)
+	delete(flt.pendingRemovals, id)
 	delete(flt.Endpoints, id)
-	flt.leave(now, id, bornAt)
+	flt.recordLeaving(now, id, bornAt)
 }
 
-// View returns a copy that readers may keep.
+// View returns a copy that later changes to the fleet don't affect.
 func (flt *Fleet) View() FleetView {
 	return FleetView{Endpoints: maps.Clone(flt.Endpoints), Leaving: maps.Clone(flt.Leaving)}
 }
 
-// FleetView is a fleet at one moment.
+// FleetView is an immutable copy of a fleet.
 type FleetView struct {
 	Endpoints map[string]Endpoint
 	Leaving   map[string]Mark
 }
 
-// HasNeighbour reports whether another endpoint of the service takes work in the same failure domain.
+// HasNeighbour reports whether another endpoint of the same service and failure domain accepts new requests.
 func (vew FleetView) HasNeighbour(edp *Endpoint) bool {
 	for id, one := range vew.Endpoints {
 		_, leaving := vew.Leaving[id]
--- a/catalog/fleet_test.go
+++ b/catalog/fleet_test.go
@@ -27,7 +27,7 @@
 	Want         []string
 }
 
-// Each case of testdata/fleet.yaml says which endpoints may get work after some entries.
+// Each case of testdata/fleet.yaml lists changes to the entries and the endpoints that may receive requests afterwards.
 func TestFleet(t *testing.T) {
 	data, err := os.ReadFile("testdata/fleet.yaml")
 	if err != nil {
@@ -83,7 +83,7 @@
 	}
 }
 
-// Requests go to the longest prefix of their host; hosts differ in case and port.
+// A request matches the longest path prefix of its host; the case and the port of the host are ignored.
 func TestMatch(t *testing.T) {
 	cat := NewCatalog(1, []Route{
 		{Name: "short", Host: "a.example", PathPrefix: "/x/"}, {Name: "long", Host: "a.example", PathPrefix: "/x/y/"},
@@ -103,7 +103,7 @@
 	}
 }
 
-// Weights divide a route's requests.
+// Pick chooses the services of a route in proportion to their weights.
 func TestPick(t *testing.T) {
 	rou := Route{Shares: []Share{{"a", 90}, {"b", 10}}}
 	for _, cse := range []struct {
@@ -116,7 +116,8 @@
 	}
 }
 
-// A version that lacks a service must not end the daemon while generations of the service are moved.
+// The daemon must not crash when a new configuration removes a service whose generations are being moved: the engine is
+// nil then.
 func TestEngineOfMissingService(t *testing.T) {
 	eng := NewCatalog(1, nil, nil, nil).Services["gone"].Engine
 	if got, want := eng.CopyTime(100, true), time.Duration(0); got != want {
