--- a/settings/gateway.go
+++ b/settings/gateway.go
@@ -16,27 +16,27 @@
 	Name          string `yaml:"name" required:"true"`
 	FailureDomain string `yaml:"failureDomain" required:"true"`
 	CallerAddress string `yaml:"callerAddress" required:"true"`
-	// ReadyAddress answers the balancer's question whether the daemon takes callers.
+	// ReadyAddress serves the load balancer's readiness check: whether the daemon accepts callers.
 	ReadyAddress   string `yaml:"readyAddress" required:"true"`
 	PeerAddress    string `yaml:"peerAddress" required:"true"`
 	MetricsAddress string `yaml:"metricsAddress"`
-	// StoreAddress is the metadata store's.
+	// StoreAddress is the address of the metadata store.
 	StoreAddress string `yaml:"storeAddress" required:"true"`
-	// DrainNotice is the time from the signal to stop until the platform ends the process.
+	// DrainNotice is the time between the platform's signal to stop and the moment when it kills the process.
 	DrainNotice document.Duration `yaml:"drainNotice"`
-	// MemoryMB bounds the memory of the process; 0 sets no bound.
+	// MemoryMB is the memory limit of the process; 0 means no limit.
 	MemoryMB int         `yaml:"memoryMB"`
 	Retries  RetryBudget `yaml:"retries"`
 	Log      Log         `yaml:"log"`
 }
 
-// RetryBudget bounds the requests that all daemons send to a second endpoint.
+// RetryBudget limits how many requests all daemons together send again to another endpoint.
 type RetryBudget struct {
-	// Ratio is the number of repeats that each request earns.
+	// Ratio is the number of retries that each request adds to the budget.
 	Ratio float64 `yaml:"ratio"`
-	// Extra is the number of repeats in a window beyond that, for all daemons together.
+	// Extra is the number of retries per window that are allowed in addition, for all daemons together.
 	Extra float64 `yaml:"extra"`
-	// Window is the time over which both are counted.
+	// Window is the time over which requests and retries are counted.
 	Window document.Duration `yaml:"window"`
 }
 
@@ -46,7 +46,7 @@
 	defaultRetryWindow = 10 * time.Second
 )
 
-// LoadGateway reads a gateway's settings file and returns every finding.
+// LoadGateway reads a gateway's settings file and returns the settings with all findings.
 func LoadGateway(file string) (*Gateway, finding.List, error) {
 	data, err := os.ReadFile(file)
 	if err != nil {
@@ -56,7 +56,7 @@
 	return set, lst, nil
 }
 
-// ParseGateway reads a gateway's settings and returns every finding.
+// ParseGateway decodes and checks a gateway's settings and returns them with all findings.
 func ParseGateway(file string, data []byte) (*Gateway, finding.List) {
 	set := &Gateway{
 		DrainNotice: document.Duration(defaultDrainNotice),
--- a/settings/gateway_test.go
+++ b/settings/gateway_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// All findings of a gateway's settings are reported at once, each with its line.
+// ParseGateway must report all findings of a file at once, with their lines, instead of only the first.
 func TestParseGatewayReportsEveryFinding(t *testing.T) {
 	_, lst := ParseGateway("gateway.yaml", []byte(`name: front-1
 failureDomain: a
@@ -28,7 +28,7 @@
 	}
 }
 
-// What deploy/gateway.yaml renders is taken, with defaults for what it leaves out.
+// The settings that deploy/gateway.yaml renders must be accepted, and omitted keys must get their defaults.
 func TestParseGateway(t *testing.T) {
 	set, lst := ParseGateway("gateway.yaml", []byte(`name: front-1
 failureDomain: a
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -1,4 +1,4 @@
-// Package settings holds the daemon's settings file.
+// Package settings reads and checks the settings files of the daemons.
 package settings
 
 import (
@@ -28,16 +28,16 @@
 	Log             Log               `yaml:"log"`
 }
 
-// Platform holds the base URLs of the platform's services.
+// Platform holds the settings of the platform's services, with the base URL of each.
 type Platform struct {
 	LogURL     string `yaml:"logURL" required:"true"`
 	VMsURL     string `yaml:"vmsURL" required:"true"`
 	WeightsURL string `yaml:"weightsURL"`
-	// LogRetention is the time for which the log keeps a record.
+	// LogRetention is the time after which the log deletes a record.
 	LogRetention document.Duration `yaml:"logRetention"`
 }
 
-// Log sets up the daemon's own log lines.
+// Log holds the level and the format of the daemon's log lines.
 type Log struct {
 	Level  string `yaml:"level"`
 	Format string `yaml:"format"`
@@ -46,15 +46,15 @@
 const (
 	defaultDrainNotice  = 30 * time.Second
 	defaultLogRetention = 24 * time.Hour
-	// minLogRetention leaves time for the random delay and the append of a snapshot.
+	// minLogRetention leaves enough time to append a new snapshot, after a random delay, before the old one expires.
 	minLogRetention = 4 * time.Second
-	// maxNameBytes keeps a member's entry small enough for gossip.
+	// maxNameBytes limits the names that each member's entry in a gossip message contains, to keep the messages small.
 	maxNameBytes        = 48
 	maxDrainNotice      = time.Hour
 	minPositionKeyBytes = 32
 )
 
-// Load reads a settings file and the files that it names and returns every finding.
+// Load reads a settings file, checks it and the position key file that it names, and returns all findings.
 func Load(file string) (*Settings, finding.List, error) {
 	data, err := os.ReadFile(file)
 	if err != nil {
@@ -70,7 +70,7 @@
 	return set, lst, nil
 }
 
-// Parse reads the settings and returns every finding.
+// Parse decodes and checks the settings and returns them with all findings.
 func Parse(file string, data []byte) (*Settings, finding.List) {
 	set, _, lst := parse(file, data)
 	return set, lst
@@ -91,7 +91,7 @@
 	return set, doc, lst
 }
 
-// Validate checks the settings and returns every finding.
+// Validate checks the settings and returns all findings.
 func (set *Settings) Validate() finding.List {
 	var lst finding.List
 	requireName(&lst, "name", set.Name)
@@ -129,7 +129,7 @@
 	return lst
 }
 
-// PositionKey reads the key that signs stream positions.
+// PositionKey reads the key that signs stream positions from PositionKeyFile.
 func (set *Settings) PositionKey() ([]byte, error) {
 	data, err := os.ReadFile(set.PositionKeyFile)
 	if err != nil {
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// Guards against example settings that the daemon would refuse.
+// The example settings must be ones that the daemon accepts.
 func TestExampleSettingsHaveNoFindings(t *testing.T) {
 	files, err := filepath.Glob("../examples/*/entry-*.yaml")
 	if err != nil || len(files) == 0 {
@@ -25,7 +25,8 @@
 	}
 }
 
-// Guards against a retention that leaves no time to re-append a snapshot, and against a missing default.
+// A log retention that leaves no time to append a new snapshot must be a finding, and an omitted one must get its
+// default.
 func TestLogRetentionIsChecked(t *testing.T) {
 	data, err := os.ReadFile("../examples/kowhai/entry-1.yaml")
 	if err != nil {
