--- a/endpoint/client.go
+++ b/endpoint/client.go
@@ -16,14 +16,15 @@
 )
 
 const (
-	// DefaultSilence is the time without any byte after which a stream counts as dead; engines send a comment each second.
-	DefaultSilence = 3 * time.Second
-	dialTimeout    = time.Second
-	// maxErrorBytes bounds how much of an error response is read.
+	// DefaultSilenceTimeout is the time without any byte after which a stream is considered dead. Engines send at least a
+	// comment each second.
+	DefaultSilenceTimeout = 3 * time.Second
+	dialTimeout           = time.Second
+	// maxErrorBytes is the number of bytes of an error response that are read at most.
 	maxErrorBytes = 4 << 10
 )
 
-// StartRequest asks an engine for a generation.
+// StartRequest is the body of a request to an engine to start a generation.
 type StartRequest struct {
 	ID        string `json:"id"`
 	Model     string `json:"model"`
@@ -31,19 +32,20 @@
 	MaxTokens int    `json:"maxTokens"`
 	Priority  int    `json:"priority"`
 	Class     string `json:"class"`
-	// UnreadFor is the time without a reader after which the engine cancels the generation by itself.
+	// UnreadFor is the time without a reader after which the engine cancels the generation on its own.
 	UnreadFor string `json:"unreadFor,omitempty"`
 }
 
-// Client calls endpoints by name and address.
+// Client calls endpoints over HTTP.
 type Client struct {
-	HTTP    *http.Client
+	HTTP *http.Client
+	// Silence is the time without any byte after which a stream is interrupted.
 	Silence time.Duration
-	// OnLoad receives each load report that rides on a response.
+	// OnLoad, if set, receives each load report that a response carries in its header or stream.
 	OnLoad func(endpoint string, lod Load)
 }
 
-// NewClient returns a client with one connection pool for all endpoints.
+// NewClient returns a client that pools connections for load requests only; other calls open a connection each.
 func NewClient() *Client {
 	return &Client{
 		HTTP: &http.Client{Transport: &http.Transport{
@@ -51,12 +53,13 @@
 			MaxIdleConnsPerHost: 64,
 			IdleConnTimeout:     30 * time.Second,
 		}},
-		Silence: DefaultSilence,
+		Silence: DefaultSilenceTimeout,
 	}
 }
 
-// fresh opens a connection for each call: an idle connection may have gone silent, which would stall the first token.
-var fresh = &http.Client{Transport: serviceTransport}
+// unpooledClient opens a connection for each call. A pooled idle connection may have stopped delivering data unnoticed,
+// which would delay the first token.
+var unpooledClient = &http.Client{Transport: serviceTransport}
 
 // Target is an endpoint's name and address.
 type Target struct {
@@ -73,26 +76,27 @@
 	return clt.open(ctx, tgt, http.MethodPost, "/generations", body, req.ID, 0)
 }
 
-// Attach opens the stream of a running generation from an index on.
+// Attach opens the stream of a running generation from the token with the given index on.
 func (clt *Client) Attach(ctx context.Context, tgt Target, generation string, from int) (*Stream, error) {
 	path := "/generations/" + generation + "?from=" + strconv.Itoa(from)
 	return clt.open(ctx, tgt, http.MethodGet, path, nil, generation, from)
 }
 
-// Cancel ends a generation, if it has had no reader for the given time.
+// Cancel cancels a generation. If unreadFor is set, the engine does so only if the generation has had no reader for that
+// time.
 func (clt *Client) Cancel(ctx context.Context, tgt Target, generation string, unreadFor time.Duration) error {
 	path := "/generations/" + generation
 	if unreadFor > 0 {
 		path += "?unreadFor=" + unreadFor.String()
 	}
-	res, err := clt.do(ctx, fresh, tgt, http.MethodDelete, path, nil)
+	res, err := clt.do(ctx, unpooledClient, tgt, http.MethodDelete, path, nil)
 	if err != nil {
 		return trace.Wrap(err)
 	}
 	return trace.Wrap(res.Body.Close())
 }
 
-// Load asks an engine for its report.
+// Load fetches an engine's load report.
 func (clt *Client) Load(ctx context.Context, tgt Target) (Load, error) {
 	res, err := clt.do(ctx, clt.HTTP, tgt, http.MethodGet, "/load", nil)
 	if err != nil {
@@ -108,14 +112,14 @@
 
 func (clt *Client) open(ctx context.Context, tgt Target, method, path string, body []byte, generation string, from int) (*Stream, error) {
 	ctx, cancel := context.WithCancel(ctx)
-	watch := time.AfterFunc(clt.Silence, cancel)
-	res, err := clt.do(ctx, fresh, tgt, method, path, body) //nolint:bodyclose // The stream closes the body.
+	watchdog := time.AfterFunc(clt.Silence, cancel)
+	res, err := clt.do(ctx, unpooledClient, tgt, method, path, body) //nolint:bodyclose // The stream closes the body.
 	if err != nil {
-		watch.Stop()
+		watchdog.Stop()
 		cancel()
 		return nil, err
 	}
-	stm := newStream(res.Body, tgt, generation, from, clt.Silence, watch, cancel)
+	stm := newStream(res.Body, tgt, generation, from, clt.Silence, watchdog, cancel)
 	stm.onLoad = clt.OnLoad
 	return stm, nil
 }
@@ -171,7 +175,8 @@
 	return edpErr
 }
 
-// begunOf is certain that nothing was begun only if no connection came about.
+// begunOf returns NotBegun only if the connection could not be opened; after any other failure the endpoint may have
+// received the request.
 func begunOf(err error) Begun {
 	var opErr *net.OpError
 	if errors.As(err, &opErr) && opErr.Op == "dial" {
--- a/endpoint/errors.go
+++ b/endpoint/errors.go
@@ -5,10 +5,10 @@
 	"fmt"
 )
 
-// Begun says whether an endpoint may have begun a request that failed.
+// Begun says whether an endpoint may have begun to execute a request that failed.
 type Begun int
 
-// The answers to whether a request was begun.
+// The values of Begun.
 const (
 	NotBegun Begun = iota
 	MayHaveBegun
@@ -19,18 +19,22 @@
 
 // The reasons for a failure.
 const (
+	// ReasonUnreachable means that the connection could not be opened.
 	ReasonUnreachable Reason = "unreachable"
-	ReasonBroken      Reason = "broken"
-	ReasonSilent      Reason = "silent"
-	ReasonFull        Reason = "full"
-	ReasonNotLoaded   Reason = "modelNotLoaded"
-	ReasonLeaving     Reason = "leaving"
-	ReasonUnknownID   Reason = "unknownGeneration"
-	ReasonRefused     Reason = "refused"
-	ReasonMismatch    Reason = "mismatch"
-	// ReasonBeyondEnd says that a caller asked for a token after the last one.
+	// ReasonBroken means that the connection failed after it was opened.
+	ReasonBroken Reason = "broken"
+	// ReasonSilent means that the call was cancelled, usually because no data arrived within the silence time-out.
+	ReasonSilent    Reason = "silent"
+	ReasonFull      Reason = "full"
+	ReasonNotLoaded Reason = "modelNotLoaded"
+	ReasonLeaving   Reason = "leaving"
+	ReasonUnknownID Reason = "unknownGeneration"
+	ReasonRefused   Reason = "refused"
+	// ReasonMismatch means that a stream delivered an event that does not follow the previous one or is not valid.
+	ReasonMismatch Reason = "mismatch"
+	// ReasonBeyondEnd means that the requested index is past the last token of the generation.
 	ReasonBeyondEnd Reason = "beyondEnd"
-	// ReasonAttached says that a generation has a reader and is not cancelled.
+	// ReasonAttached means that the engine did not cancel a generation because it has a reader.
 	ReasonAttached Reason = "attached"
 )
 
--- a/endpoint/load.go
+++ b/endpoint/load.go
@@ -1,4 +1,4 @@
-// Package endpoint talks to model engines and plain services.
+// Package endpoint is the HTTP client of model engines and plain services.
 package endpoint
 
 import (
@@ -9,10 +9,10 @@
 	"github.com/gravitational/trace"
 )
 
-// LoadHeader carries an engine's load report on every response.
+// LoadHeader is the header in which every response of an engine carries its load report.
 const LoadHeader = "Papayacroft-Load"
 
-// Load is an engine's report on itself.
+// Load is an engine's load report.
 type Load struct {
 	At             time.Time `json:"at"`
 	UsedTokens     int       `json:"usedTokens"`
@@ -21,13 +21,13 @@
 	Waiting        int       `json:"waiting"`
 	Preemptions    int64     `json:"preemptions"`
 	Models         []string  `json:"models"`
-	// Versions holds the version of each loaded model whose version the engine knows.
+	// Versions holds the versions of the loaded models, by model; models whose version the engine doesn't know are absent.
 	Versions map[string]string `json:"versions,omitempty"`
 	Role     string            `json:"role,omitempty"`
 	Leaving  bool              `json:"leaving,omitempty"`
 }
 
-// ParseLoad reads a load report from response headers.
+// ParseLoad reads a load report from response headers; it returns false if there is none or it is not valid.
 func ParseLoad(hdr http.Header) (Load, bool) {
 	value := hdr.Get(LoadHeader)
 	if value == "" {
@@ -40,7 +40,7 @@
 	return lod, true
 }
 
-// Serialize formats the report for a header.
+// Serialize formats the report as a value of LoadHeader.
 func (lod Load) Serialize() (string, error) {
 	data, err := json.Marshal(lod)
 	return string(data), trace.Wrap(err)
--- a/endpoint/order.go
+++ b/endpoint/order.go
@@ -9,20 +9,20 @@
 	"github.com/gravitational/trace"
 )
 
-// Action says what an order asks for.
+// Action says which change an order requests.
 type Action string
 
-// The actions of orders. Each names an end state, so that a repeated order changes nothing.
+// The actions of orders. All are idempotent: each describes the state to reach.
 const (
-	// ActionAssign makes the order's model, adapter, version and role the only ones of the engine.
+	// ActionAssign makes the engine serve the order's model, adapter, version and role, and nothing else.
 	ActionAssign Action = "assign"
-	// ActionLoad adds a model to those loaded.
+	// ActionLoad loads a model in addition to the loaded ones.
 	ActionLoad Action = "load"
-	// ActionUnload removes a model from those loaded.
+	// ActionUnload unloads a model.
 	ActionUnload Action = "unload"
 )
 
-// Order asks an engine to reach a state.
+// Order requests a change of the models that an engine has loaded.
 type Order struct {
 	Fence   int64  `json:"fence"`
 	Model   string `json:"model"`
@@ -32,13 +32,13 @@
 	Action  Action `json:"action"`
 }
 
-// Order sends an order; the engine's answer carries its load report.
+// Order sends an order to an engine. The response carries a load report, which OnLoad receives.
 func (clt *Client) Order(ctx context.Context, tgt Target, ord Order) error {
 	body, err := json.Marshal(ord)
 	if err != nil {
 		return trace.Wrap(err)
 	}
-	res, err := clt.do(ctx, fresh, tgt, http.MethodPost, "/orders", body)
+	res, err := clt.do(ctx, unpooledClient, tgt, http.MethodPost, "/orders", body)
 	if err != nil {
 		return trace.Wrap(err)
 	}
--- a/endpoint/service.go
+++ b/endpoint/service.go
@@ -20,13 +20,13 @@
 	Body   []byte
 }
 
-// serviceTransport never reuses a connection: net/http resends some requests when a reused connection fails.
+// serviceTransport never reuses a connection, because net/http resends some requests when a reused connection fails.
 var serviceTransport = &http.Transport{
 	DialContext:       (&net.Dialer{Timeout: dialTimeout, KeepAlive: 15 * time.Second}).DialContext,
 	DisableKeepAlives: true,
 }
 
-// Call sends a request to a plain service exactly once.
+// Call sends a request to a plain service without ever resending it, and without following redirects.
 func (clt *Client) Call(ctx context.Context, tgt Target, req ServiceRequest) (*http.Response, error) {
 	target := "http://" + tgt.Address + req.Path
 	if req.Query != "" {
--- a/endpoint/stream.go
+++ b/endpoint/stream.go
@@ -12,13 +12,13 @@
 	"github.com/tmaxmax/go-sse"
 )
 
-// maxEventBytes bounds what one event can make the daemon hold.
+// maxEventBytes limits the memory that the daemon uses for one event.
 const maxEventBytes = 16 << 10
 
 // loadEvent is the type of the events that carry load reports.
 const loadEvent = "load"
 
-// Event is one event of a generation: a token, or the end.
+// Event is one event of a generation: a token, or its end.
 type Event struct {
 	Generation string `json:"generation"`
 	Index      int    `json:"index"`
@@ -27,30 +27,30 @@
 	Tokens     int    `json:"tokens"`
 }
 
-// Stream delivers the events of one generation in order, each index once.
+// Stream returns the events of one generation in order and without duplicates.
 type Stream struct {
 	target     Target
 	generation string
 	next       int
 	body       io.ReadCloser
-	watch      *time.Timer
+	watchdog   *time.Timer
 	cancel     context.CancelFunc
 	reader     *watchedReader
 	pull       func() (sse.Event, error, bool)
 	stop       func()
-	// onLoad receives the load reports that the engine sends between tokens.
+	// onLoad, if set, receives the load reports that the engine sends between tokens.
 	onLoad func(endpoint string, lod Load)
 }
 
-func newStream(body io.ReadCloser, tgt Target, generation string, from int, silence time.Duration, watch *time.Timer, cancel context.CancelFunc) *Stream {
-	stm := &Stream{target: tgt, generation: generation, next: from, body: body, watch: watch, cancel: cancel}
-	stm.reader = &watchedReader{body: body, watch: watch, silence: silence}
+func newStream(body io.ReadCloser, tgt Target, generation string, from int, silence time.Duration, watchdog *time.Timer, cancel context.CancelFunc) *Stream {
+	stm := &Stream{target: tgt, generation: generation, next: from, body: body, watchdog: watchdog, cancel: cancel}
+	stm.reader = &watchedReader{body: body, watchdog: watchdog, silence: silence}
 	stm.pull, stm.stop = iter.Pull2(iter.Seq2[sse.Event, error](sse.Read(stm.reader, &sse.ReadConfig{MaxEventSize: maxEventBytes})))
 	return stm
 }
 
-// BeforeRead sets a function that Next calls when no further event is buffered, before it waits for the engine.
-// Its error ends the stream.
+// BeforeRead sets a function that Next calls when no further event is buffered, before it waits for data from the engine.
+// An error of the function ends the stream.
 func (stm *Stream) BeforeRead(call func() error) {
 	stm.reader.before = call
 }
@@ -91,7 +91,7 @@
 	}
 }
 
-// reportLoad passes on a load report; one that can't be read is left out, as reports come again.
+// reportLoad passes a load report to onLoad. It ignores an invalid one, since the engine sends reports repeatedly.
 func (stm *Stream) reportLoad(data string) {
 	var lod Load
 	if err := json.Unmarshal([]byte(data), &lod); err == nil && stm.onLoad != nil {
@@ -99,14 +99,14 @@
 	}
 }
 
-// Interrupt makes a running Next return; it may be called from any goroutine.
+// Interrupt makes a pending Next return an error; it may be called from any goroutine.
 func (stm *Stream) Interrupt() {
 	stm.cancel()
 }
 
-// Close ends the connection; the generation itself goes on.
+// Close closes the connection; the generation keeps running at the engine.
 func (stm *Stream) Close() {
-	stm.watch.Stop()
+	stm.watchdog.Stop()
 	stm.cancel()
 	stm.stop()
 	_ = stm.body.Close()
@@ -142,24 +142,24 @@
 	return evt, nil
 }
 
-// watchedReader bounds the wait for each read, comments included.
-// The timer rests between reads, so that a slow caller does not make the engine's connection seem silent.
+// watchedReader interrupts a read that returns nothing within the silence time-out; the comments of a stream count as data.
+// The watchdog timer is stopped between reads, so that a slow caller does not make the engine's connection time out.
 type watchedReader struct {
-	body    io.Reader
-	watch   *time.Timer
-	silence time.Duration
-	// before, if set, runs before each read.
+	body     io.Reader
+	watchdog *time.Timer
+	silence  time.Duration
+	// before, if set, is called before each read; its error ends the read.
 	before func() error
 }
 
-// Read reads from the body while the timer runs.
+// Read reads from the body while the watchdog timer runs.
 func (wrd *watchedReader) Read(buf []byte) (int, error) {
 	if wrd.before != nil {
 		if err := wrd.before(); err != nil {
 			return 0, err
 		}
 	}
-	wrd.watch.Reset(wrd.silence)
-	defer wrd.watch.Stop()
+	wrd.watchdog.Reset(wrd.silence)
+	defer wrd.watchdog.Stop()
 	return wrd.body.Read(buf)
 }
--- a/endpoint/stream_test.go
+++ b/endpoint/stream_test.go
@@ -14,26 +14,27 @@
 
 func openStream(body io.ReadCloser, from int) *Stream {
 	_, cancel := context.WithCancel(context.Background())
-	return newStream(body, Target{Name: "engine-1"}, "gen", from, DefaultSilence, time.AfterFunc(DefaultSilence, cancel), cancel)
+	return newStream(body, Target{Name: "engine-1"}, "gen", from, DefaultSilenceTimeout, time.AfterFunc(DefaultSilenceTimeout, cancel), cancel)
 }
 
 func token(index int) string {
 	return fmt.Sprintf("data: {\"generation\":\"gen\",\"index\":%d,\"text\":\"t%d\"}\n\n", index, index)
 }
 
-// Guards against a slow caller that makes a healthy engine's connection count as silent.
-func TestSlowReaderIsNotSilence(t *testing.T) {
+// A slow caller must not make the connection to a healthy engine time out: the watchdog timer must not run while the
+// caller handles an event.
+func TestSlowReaderDoesNotTimeOut(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		body := io.NopCloser(strings.NewReader(token(0) + token(1) + "event: done\ndata: {\"generation\":\"gen\",\"tokens\":2}\n\n"))
-		stm := newStream(body, Target{}, "gen", 0, DefaultSilence, time.AfterFunc(DefaultSilence, cancel), cancel)
+		stm := newStream(body, Target{}, "gen", 0, DefaultSilenceTimeout, time.AfterFunc(DefaultSilenceTimeout, cancel), cancel)
 		defer stm.Close()
 		for i := range 3 {
 			evt, err := stm.Next()
 			if err != nil || evt.Done != (i == 2) {
 				t.Fatalf("got event %d %+v, %v", i, evt, err)
 			}
-			time.Sleep(10 * DefaultSilence)
+			time.Sleep(10 * DefaultSilenceTimeout)
 			if ctx.Err() != nil {
 				t.Fatal("got the connection closed while the caller was slow")
 			}
@@ -41,13 +42,14 @@
 	})
 }
 
-// Guards against a connection that stays silent for good.
-func TestSilenceClosesStream(t *testing.T) {
+// A connection without data must be closed when the silence time-out has passed since the last byte, which may be part of
+// a comment.
+func TestSilenceTimeoutClosesStream(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		reader, writer := io.Pipe()
 		context.AfterFunc(ctx, func() { _ = writer.CloseWithError(context.Canceled) })
-		stm := newStream(reader, Target{}, "gen", 0, DefaultSilence, time.AfterFunc(DefaultSilence, cancel), cancel)
+		stm := newStream(reader, Target{}, "gen", 0, DefaultSilenceTimeout, time.AfterFunc(DefaultSilenceTimeout, cancel), cancel)
 		defer stm.Close()
 		go func() {
 			_, _ = io.WriteString(writer, token(0))
@@ -62,13 +64,14 @@
 		if edpErr, ok := AsError(err); !ok || edpErr.Reason != ReasonSilent {
 			t.Errorf("got %v; want reason silent", err)
 		}
-		if got, want := time.Since(began), 2*time.Second+DefaultSilence; got != want {
-			t.Errorf("got silence noticed after %s; want %s", got, want)
+		if got, want := time.Since(began), 2*time.Second+DefaultSilenceTimeout; got != want {
+			t.Errorf("got a time-out after %s; want %s", got, want)
 		}
 	})
 }
 
-// FuzzStream guards against engine bytes that deliver an index twice, out of order or from another generation.
+// FuzzStream checks that no input from an engine makes a stream return an index twice or out of order, an event of
+// another generation or an untyped error.
 func FuzzStream(f *testing.F) {
 	f.Add([]byte(token(0)+token(0)+token(1)), 0)
 	f.Add([]byte(token(2)+token(4)), 2)
