--- a/peer/client.go
+++ b/peer/client.go
@@ -11,10 +11,10 @@
 	"github.com/sourcegraph/jsonrpc2"
 )
 
-// CallTimeout bounds a call to another daemon unless the caller's context ends earlier.
+// CallTimeout is the time-out of a call to another daemon whose context has no deadline.
 const CallTimeout = time.Second
 
-// Client calls other daemons over one connection each.
+// Client calls other daemons. It keeps one connection to each address.
 type Client struct {
 	Traffic *Traffic
 
@@ -22,13 +22,13 @@
 	conns map[string]*jsonrpc2.Conn
 }
 
-// NewClient returns a client without connections.
+// NewClient returns a client that opens connections when they are first needed.
 func NewClient() *Client {
 	return &Client{Traffic: &Traffic{}, conns: map[string]*jsonrpc2.Conn{}}
 }
 
 // Call sends a request and waits for its result.
-// A failed call closes the connection, so that the next call opens a new one.
+// After any failure other than an error reply it closes the connection, so that the next call opens a new one.
 func (clt *Client) Call(ctx context.Context, address, method string, params, result any) error {
 	if _, ok := ctx.Deadline(); !ok {
 		var cancel context.CancelFunc
@@ -49,7 +49,7 @@
 	return nil
 }
 
-// Notify sends a message without waiting for an answer.
+// Notify sends a message without waiting for a reply.
 func (clt *Client) Notify(ctx context.Context, address, method string, params any) error {
 	rpc, err := clt.conn(ctx, address)
 	if err != nil {
@@ -62,7 +62,7 @@
 	return nil
 }
 
-// Close ends all connections.
+// Close closes all connections.
 func (clt *Client) Close() {
 	clt.mutex.Lock()
 	defer clt.mutex.Unlock()
@@ -72,6 +72,8 @@
 	}
 }
 
+// conn returns the open connection to an address, or opens one. It dials without holding the mutex, so two calls may dial
+// at once; the later one closes its connection and uses that of the earlier.
 func (clt *Client) conn(ctx context.Context, address string) (*jsonrpc2.Conn, error) {
 	clt.mutex.Lock()
 	rpc, ok := clt.conns[address]
@@ -87,7 +89,7 @@
 	refuse := jsonrpc2.HandlerWithError(func(context.Context, *jsonrpc2.Conn, *jsonrpc2.Request) (any, error) {
 		return nil, &jsonrpc2.Error{Code: jsonrpc2.CodeMethodNotFound, Message: "calls go from the dialling side only"}
 	})
-	fresh := jsonrpc2.NewConn(context.Background(), newStream(con, clt.Traffic), refuse, quiet)
+	fresh := jsonrpc2.NewConn(context.Background(), newStream(con, clt.Traffic), refuse, discardLog)
 	clt.mutex.Lock()
 	defer clt.mutex.Unlock()
 	if rpc, ok := clt.conns[address]; ok && !isClosed(rpc) {
@@ -98,6 +100,7 @@
 	return fresh, nil
 }
 
+// drop closes a connection and removes it unless another one has replaced it.
 func (clt *Client) drop(address string, rpc *jsonrpc2.Conn) {
 	_ = rpc.Close()
 	clt.mutex.Lock()
--- a/peer/server.go
+++ b/peer/server.go
@@ -1,4 +1,4 @@
-// Package peer carries messages between entry daemons as JSON-RPC 2.0 over TCP.
+// Package peer implements JSON-RPC 2.0 over TCP between daemons.
 package peer
 
 import (
@@ -13,11 +13,12 @@
 	"github.com/sourcegraph/jsonrpc2"
 )
 
-// Handler answers one method.
+// Handler implements one method.
 type Handler func(ctx context.Context, params json.RawMessage) (any, error)
 
-// Server answers other daemons.
+// Server serves the calls of other daemons.
 type Server struct {
+	// Handlers holds the handler of each method by name.
 	Handlers map[string]Handler
 	Logger   logrus.FieldLogger
 	Traffic  *Traffic
@@ -28,7 +29,7 @@
 	return &Server{Handlers: map[string]Handler{}, Traffic: &Traffic{}}
 }
 
-// Serve accepts connections until the context ends.
+// Serve accepts connections until the context ends, then waits until all of them are closed.
 func (srv *Server) Serve(ctx context.Context, lis net.Listener) error {
 	stop := context.AfterFunc(ctx, func() { _ = lis.Close() })
 	defer stop()
@@ -49,7 +50,7 @@
 func (srv *Server) serveConn(ctx context.Context, con net.Conn) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	rpc := jsonrpc2.NewConn(ctx, newStream(con, srv.Traffic), jsonrpc2.AsyncHandler(jsonrpc2.HandlerWithError(srv.handle)), quiet)
+	rpc := jsonrpc2.NewConn(ctx, newStream(con, srv.Traffic), jsonrpc2.AsyncHandler(jsonrpc2.HandlerWithError(srv.handle)), discardLog)
 	select {
 	case <-rpc.DisconnectNotify():
 	case <-ctx.Done():
--- a/peer/traffic.go
+++ b/peer/traffic.go
@@ -9,13 +9,13 @@
 	"github.com/sourcegraph/jsonrpc2"
 )
 
-// Traffic counts the bytes that daemons exchange.
+// Traffic counts the bytes that were sent to other daemons and received from them.
 type Traffic struct {
 	Sent     atomic.Int64
 	Received atomic.Int64
 }
 
-// countedConn adds what passes through a connection to the traffic.
+// countedConn adds the bytes sent and received over a connection to a Traffic.
 type countedConn struct {
 	net.Conn
 	traffic *Traffic
@@ -39,6 +39,6 @@
 	return jsonrpc2.NewBufferedStream(&countedConn{Conn: con, traffic: trf}, jsonrpc2.VarintObjectCodec{})
 }
 
-// quiet keeps the library from writing to standard error when a connection ends before an answer is sent;
-// the calling side reports the failed call.
-var quiet = jsonrpc2.SetLogger(log.New(io.Discard, "", 0))
+// discardLog keeps the library from writing to standard error when a connection closes before a reply is sent; the
+// calling side reports the failed call.
+var discardLog = jsonrpc2.SetLogger(log.New(io.Discard, "", 0))
