--- a/blackboard/board.go
+++ b/blackboard/board.go
@@ -1,4 +1,5 @@
-// Package blackboard holds a daemon's control state, which controllers read and write.
+// Package blackboard holds a daemon's control state and the control goroutine, the only one that reads and writes it.
+// The other goroutines send inputs and read snapshots.
 package blackboard
 
 import (
@@ -10,14 +11,15 @@
 	"papayacroft/provider"
 )
 
-// Board is the control state; only the control goroutine touches it.
+// Board is the control state; only the control goroutine accesses it.
 type Board struct {
 	Configuration *configuration.State
 	Index         *inventory.Index
-	// InForce is the version that Index was made of.
+	// InForce is the configuration version that Index was built from.
 	InForce      configuration.Version
 	InForceSince time.Time
-	// VersionFloor is the version that this daemon's former incarnation had in force.
+	// VersionFloor is the version that the previous incarnation of this daemon had in force; older versions are not put in
+	// force.
 	VersionFloor  int64
 	LogReadAt     time.Time
 	LogError      string
@@ -33,7 +35,7 @@
 	return &Board{Configuration: configuration.NewState()}
 }
 
-// Snapshot is what traffic goroutines see of the board; it never changes.
+// Snapshot is an immutable copy of the board for the goroutines that serve requests.
 type Snapshot struct {
 	At time.Time
 	// Index is nil if no configuration is in force.
@@ -48,13 +50,13 @@
 	VMsReadAt     time.Time
 	DrainingSince time.Time
 	Members       []membership.Member
-	// Transfer is what peers and the log may be told of the configuration.
+	// Transfer is the view of the configuration from which peers are answered and snapshots are appended to the log.
 	Transfer *configuration.View
-	// Behind is true while the configuration waits for a snapshot.
+	// Behind is true while this daemon waits for a snapshot because configuration records expired before it read them.
 	Behind bool
 }
 
-// Snapshot copies what traffic goroutines need.
+// Snapshot returns an immutable copy of the board for the goroutines that serve requests.
 func (brd *Board) Snapshot(now time.Time) *Snapshot {
 	return &Snapshot{
 		At:            now,
--- a/blackboard/input.go
+++ b/blackboard/input.go
@@ -10,23 +10,23 @@
 	"papayacroft/provider"
 )
 
-// LogBatch brings records of the configuration stream.
+// LogBatch is the input with the records that a read of the configuration stream returned.
 type LogBatch struct {
-	// Asked is the offset that the read began at.
+	// Asked is the offset from which the read began.
 	Asked  int64
 	Batch  provider.Batch
 	Logger logrus.FieldLogger
-	// Next receives the offset to read from next; it needs room for one value.
+	// Next receives the offset to read from next. It must be buffered, so that the control goroutine does not block.
 	Next chan<- int64
 }
 
-// Apply judges each record in offset order and puts the last version in force.
+// Apply accepts or rejects each record in offset order and puts the resulting version in force.
 func (bat LogBatch) Apply(now time.Time, brd *Board) {
 	brd.LogReadAt, brd.LogError = now, ""
 	behind := brd.Configuration.Behind()
 	_, errs := brd.Configuration.ApplyBatch(bat.Asked, bat.Batch)
 	for _, err := range errs {
-		bat.Logger.WithError(err).Warn("configuration record passed over")
+		bat.Logger.WithError(err).Warn("ignored an invalid configuration record")
 	}
 	if !behind && brd.Configuration.Behind() {
 		bat.Logger.WithFields(logrus.Fields{"asked": bat.Asked, "first": bat.Batch.First}).
@@ -36,7 +36,7 @@
 	bat.Next <- brd.Configuration.Next
 }
 
-// PeerConfiguration brings what a peer answered to a fetch.
+// PeerConfiguration is the input with a peer's reply to a configuration fetch.
 type PeerConfiguration struct {
 	Peer   string
 	Reply  *configuration.FetchReply
@@ -47,7 +47,7 @@
 func (pco PeerConfiguration) Apply(now time.Time, brd *Board) {
 	changed, err := brd.Configuration.AdoptReply(pco.Reply)
 	if err != nil {
-		pco.Logger.WithField("peer", pco.Peer).WithError(err).Warn("configuration record passed over")
+		pco.Logger.WithField("peer", pco.Peer).WithError(err).Warn("ignored an invalid configuration record")
 	}
 	if changed {
 		pco.Logger.WithFields(logrus.Fields{"peer": pco.Peer, "version": brd.Configuration.Current.Number}).Info("configuration fetched from a peer")
@@ -55,8 +55,8 @@
 	brd.install(now, pco.Logger)
 }
 
-// install puts the newest configuration in force.
-// A restarted daemon waits until it reaches the version that its former incarnation had in force.
+// install puts the newest configuration in force. After a restart the daemon does so only once it has reached the version
+// that its previous incarnation had in force, so that it does not serve with an older one.
 func (brd *Board) install(now time.Time, log logrus.FieldLogger) {
 	cur := brd.Configuration.Current
 	if cur.Number <= brd.InForce.Number || cur.Number < brd.VersionFloor {
@@ -67,17 +67,17 @@
 	log.WithFields(logrus.Fields{"version": cur.Number, "offset": cur.Offset}).Info("configuration in force")
 }
 
-// LogFailure tells that the log could not be read.
+// LogFailure is the input for a failed read of the log.
 type LogFailure struct {
 	Err error
 }
 
-// Apply notes the failure; the configuration stays in force.
+// Apply records the error; the configuration stays in force.
 func (fai LogFailure) Apply(_ time.Time, brd *Board) {
 	brd.LogError = fai.Err.Error()
 }
 
-// VMList brings the platform's list.
+// VMList is the input with the platform's list of VMs.
 type VMList struct {
 	VMs []provider.VM
 }
@@ -87,10 +87,10 @@
 	brd.VMs, brd.VMsReadAt = slices.Clone(vml.VMs), now
 }
 
-// Drain asks the daemon to take no new work.
+// Drain is the input that makes the daemon stop accepting new requests.
 type Drain struct{}
 
-// Apply notes the time at which the drain began.
+// Apply records the time at which the drain began; a repeated Drain does not change it.
 func (Drain) Apply(now time.Time, brd *Board) {
 	if brd.DrainingSince.IsZero() {
 		brd.DrainingSince = now
--- a/blackboard/loop.go
+++ b/blackboard/loop.go
@@ -7,22 +7,23 @@
 )
 
 const (
-	// TickInterval is the time between two runs of the controllers.
+	// TickInterval is the longest time between two runs of the controllers, which also run after each input.
 	TickInterval = 100 * time.Millisecond
 	inputBuffer  = 256
 )
 
-// Input is a message to the control goroutine.
+// Input is a message to the control goroutine, which calls Apply with the board.
 type Input interface {
 	Apply(now time.Time, brd *Board)
 }
 
-// Controller derives one part of the board from the others.
+// Controller derives one part of the board from the other parts. The control goroutine calls Step at least once in each
+// TickInterval.
 type Controller interface {
 	Step(now time.Time, brd *Board)
 }
 
-// Loop runs the control goroutine.
+// Loop is the control goroutine's loop, with its inputs and the newest snapshot.
 type Loop struct {
 	Controllers []Controller
 	Now         func() time.Time
@@ -44,7 +45,8 @@
 	return lop.snapshot.Load()
 }
 
-// Send hands an input to the control goroutine.
+// Send queues an input for the control goroutine. If the queue is full, it waits for room or for the end of the
+// context.
 func (lop *Loop) Send(ctx context.Context, inp Input) {
 	select {
 	case lop.inputs <- inp:
