--- a/logline/formatter.go
+++ b/logline/formatter.go
@@ -7,10 +7,10 @@
 	"github.com/sirupsen/logrus"
 )
 
-// resolution is the number of parts of a second to which durations are rounded.
-const resolution = 10000
+// stepsPerSecond sets the precision of logged durations: they are rounded to 1/stepsPerSecond of a second.
+const stepsPerSecond = 10000
 
-// Formatter writes JSON lines that name the daemon, with durations in seconds.
+// Formatter formats log entries as JSON lines. It adds the daemon's name and writes durations in seconds.
 type Formatter struct {
 	Daemon string
 
@@ -22,13 +22,13 @@
 	return &Formatter{Daemon: daemon, json: logrus.JSONFormatter{TimestampFormat: time.RFC3339Nano}}
 }
 
-// Format writes one line.
+// Format formats one line.
 func (fmr *Formatter) Format(ent *logrus.Entry) ([]byte, error) {
 	copied := *ent
 	copied.Data = make(logrus.Fields, len(ent.Data)+1)
 	for name, value := range ent.Data {
 		if dur, ok := value.(time.Duration); ok {
-			value = math.Round(dur.Seconds()*resolution) / resolution
+			value = math.Round(dur.Seconds()*stepsPerSecond) / stepsPerSecond
 		}
 		copied.Data[name] = value
 	}
--- a/logline/history.go
+++ b/logline/history.go
@@ -12,7 +12,7 @@
 	"time"
 )
 
-// maxLineBytes bounds one line of a log that is read.
+// maxLineBytes is the longest line that Read accepts.
 const maxLineBytes = 1 << 20
 
 // Line is one line of a daemon's log.
@@ -23,8 +23,8 @@
 	Fields  map[string]any
 }
 
-// Read returns the lines of a log that pass a filter. Text before the JSON of a line is passed over, and so are
-// lines without JSON.
+// Read returns the lines of a log for which keep returns true. It ignores text before the JSON object of a line, and
+// lines without one.
 func Read(log io.Reader, keep func(line *Line) bool) ([]Line, error) {
 	var lines []Line
 	scn := bufio.NewScanner(log)
@@ -53,16 +53,16 @@
 	return line, line.Message != ""
 }
 
-// History returns the lines about a request and, for the time in which it was served, those about the endpoints that
-// it was sent to and about the dependencies of its daemons, in order.
+// History returns the lines about a request in order of time. From the daemons that served the request and the time in
+// which they did, it adds the lines about the endpoints to which the request was sent and the lines with daemonMessages.
 func History(lines []Line, request string) []Line {
-	var own []Line
+	var requestLines []Line
 	endpoints, daemons := map[string]bool{}, map[string]bool{}
 	for _, line := range lines {
 		if line.Fields["request"] != request {
 			continue
 		}
-		own = append(own, line)
+		requestLines = append(requestLines, line)
 		daemons[line.Daemon] = true
 		for _, name := range []string{"endpoint", "from", "to"} {
 			if id, ok := line.Fields[name].(string); ok {
@@ -70,12 +70,12 @@
 			}
 		}
 	}
-	if len(own) == 0 {
+	if len(requestLines) == 0 {
 		return nil
 	}
-	sortLines(own)
-	first, last := own[0].At.Add(-historyMargin), own[len(own)-1].At.Add(historyMargin)
-	history := own
+	sortLines(requestLines)
+	first, last := requestLines[0].At.Add(-historyMargin), requestLines[len(requestLines)-1].At.Add(historyMargin)
+	history := requestLines
 	for _, line := range lines {
 		if _, about := line.Fields["request"]; about || !daemons[line.Daemon] || line.At.Before(first) || line.At.After(last) {
 			continue
@@ -89,10 +89,10 @@
 	return history
 }
 
-// historyMargin is the time before and after a request in which what happened around it is shown.
+// historyMargin is the time before the first and after the last line about a request from which History adds lines.
 const historyMargin = 2 * time.Second
 
-// daemonMessages are lines about a daemon itself that may explain what became of its requests.
+// daemonMessages are the messages about a daemon itself that may explain the outcome of its requests.
 var daemonMessages = []string{
 	"draining", "gateway started", "gateway stopped", "store lost", "store regained", "settings reloaded", "configuration in force",
 }
@@ -101,15 +101,16 @@
 	sort.SliceStable(lines, func(i, j int) bool { return lines[i].At.Before(lines[j].At) })
 }
 
-// shownElsewhere are the fields that a printed line shows in another way or that its request has in common.
-var shownElsewhere = []string{"msg", "time", "daemon", "level", "request"}
+// omittedFields are the fields that Print doesn't list by name: a line begins with some of them, and the others are the
+// same for all lines of a request or of no interest.
+var omittedFields = []string{"msg", "time", "daemon", "level", "request"}
 
-// Print writes lines for people: the time, the daemon, the message, and the other fields by name.
+// Print writes lines in a readable form: the time, the daemon, the message, and the other fields sorted by name.
 func Print(out io.Writer, lines []Line) {
 	for _, line := range lines {
 		var fields []string
 		for name, value := range line.Fields {
-			if !slices.Contains(shownElsewhere, name) && value != "" {
+			if !slices.Contains(omittedFields, name) && value != "" {
 				fields = append(fields, fmt.Sprintf("%s=%v", name, value))
 			}
 		}
--- a/logline/writer.go
+++ b/logline/writer.go
@@ -1,4 +1,4 @@
-// Package logline writes structured log lines without ever blocking, and reads them back.
+// Package logline writes structured log lines without blocking the logging goroutines, and reads such logs.
 package logline
 
 import (
@@ -12,16 +12,20 @@
 )
 
 const (
-	// maxBytesPerSecond bounds the log under load; a line has about 300 bytes, so that 800 requests a second fit.
+	// maxBytesPerSecond limits the log under load. A line has about 300 bytes, so this is enough for a line about each of
+	// 800 requests per second.
 	maxBytesPerSecond = 256 << 10
-	// maxBurstBytes is what may come at once, and what a reader that stops reading costs in memory.
-	maxBurstBytes  = 512 << 10
-	lineBuffer     = 2048
+	// maxBurstBytes is the number of bytes that are accepted at once. It is also roughly the memory that queued lines use
+	// when the reader of the output is stuck.
+	maxBurstBytes = 512 << 10
+	// lineBuffer is the number of lines that wait for the reader at most.
+	lineBuffer = 2048
+	// reportInterval is the time between two lines about dropped lines.
 	reportInterval = time.Second
 )
 
-// Writer hands lines to a slow or stopped reader without blocking those who log.
-// Lines beyond the rate or the buffer are dropped and counted; the count is written as a line.
+// Writer buffers log lines, so that a slow or stuck reader of the output does not block the goroutines that log.
+// It drops lines that exceed the rate limit or the buffer, counts them and logs the count.
 type Writer struct {
 	Output io.Writer
 	Now    func() time.Time
@@ -32,7 +36,7 @@
 	total   atomic.Int64
 }
 
-// NewWriter returns a writer that needs its exported fields set before Run.
+// NewWriter returns a writer to an output; lines reach the output only while Run is running.
 func NewWriter(output io.Writer) *Writer {
 	return &Writer{
 		Output: output, Now: time.Now,
@@ -40,7 +44,7 @@
 	}
 }
 
-// Write takes a line or drops it; it never blocks and never fails.
+// Write queues a line for Run or drops it; it never blocks and never fails.
 func (wri *Writer) Write(line []byte) (int, error) {
 	if !wri.limiter.AllowN(wri.Now(), len(line)) {
 		wri.drop()
@@ -64,7 +68,7 @@
 	wri.total.Add(1)
 }
 
-// Run writes lines until the context ends, then what is left of them.
+// Run writes queued lines to the output until the context ends, then the lines that are still queued.
 func (wri *Writer) Run(ctx context.Context) {
 	ticker := time.NewTicker(reportInterval)
 	defer ticker.Stop()
@@ -100,7 +104,7 @@
 	}
 }
 
-// output has nowhere to report a failure of the log itself.
+// output writes a line. It ignores errors, since there is no other place to report a failure of the log.
 func (wri *Writer) output(line []byte) {
 	_, _ = wri.Output.Write(line)
 }
--- a/logline/writer_test.go
+++ b/logline/writer_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// stuckOutput is a reader of the log that has stopped reading.
+// stuckOutput is an output whose reader has stopped reading: writes block until release is closed.
 type stuckOutput struct {
 	release chan struct{}
 	mutex   sync.Mutex
@@ -22,8 +22,8 @@
 	return out.text.Write(line)
 }
 
-// A reader that stops reading must stall nobody who logs, and what was dropped must be said.
-func TestStuckReaderBlocksNobody(t *testing.T) {
+// A log reader that stops reading must not block the goroutines that log, and the number of dropped lines must be logged.
+func TestStuckReaderDoesNotBlockLoggers(t *testing.T) {
 	out := &stuckOutput{release: make(chan struct{})}
 	now := time.Unix(1_700_000_000, 0)
 	wri := NewWriter(out)
@@ -51,8 +51,8 @@
 	}
 }
 
-// A flood of lines keeps to the rate.
-func TestFloodKeepsToRate(t *testing.T) {
+// The log must stay within the rate limit however many lines are logged.
+func TestWriterLimitsRate(t *testing.T) {
 	now := time.Unix(1_700_000_000, 0)
 	var out strings.Builder
 	wri := NewWriter(&out)
