--- a/metrics/metrics.go
+++ b/metrics/metrics.go
@@ -1,4 +1,4 @@
-// Package metrics holds the daemon's Prometheus metrics.
+// Package metrics defines the daemon's Prometheus metrics.
 package metrics
 
 import (
@@ -11,10 +11,10 @@
 
 const namespace = "papayacroft"
 
-// firstTokenBuckets put a bound at the target of 1.4 s.
+// firstTokenBuckets have a bound at the target of 1.4 s, so that the share of requests within it can be read exactly.
 var firstTokenBuckets = []float64{0.025, 0.05, 0.1, 0.2, 0.4, 0.7, 1, 1.4, 2, 3, 5, 10, 30, 60, 300}
 
-// tokenIntervalBuckets put a bound at the target of 28 ms.
+// tokenIntervalBuckets have a bound at the target of 28 ms, for the same reason.
 var tokenIntervalBuckets = []float64{0.002, 0.005, 0.01, 0.015, 0.02, 0.028, 0.04, 0.06, 0.1, 0.25, 0.5, 1, 3, 10}
 
 // Metrics is one daemon's set of metrics.
@@ -22,23 +22,23 @@
 	Registry *prometheus.Registry
 	// Requests counts finished requests by class, outcome and refusal code.
 	Requests *prometheus.CounterVec
-	// InFlight is the number of callers' requests being served.
+	// InFlight is the number of requests of callers that are being served.
 	InFlight prometheus.Gauge
 	// Tokens counts tokens delivered to callers by model.
 	Tokens *prometheus.CounterVec
 	// FirstToken observes the time from a request to its first token by class.
 	FirstToken *prometheus.HistogramVec
-	// TokenInterval observes the time between two tokens by class.
+	// TokenInterval observes the time between two consecutive tokens by class.
 	TokenInterval *prometheus.HistogramVec
-	// Attaches counts new connections to generations that were running already.
+	// Attaches counts connections that were opened to generations already running, such as after an interruption.
 	Attaches prometheus.Counter
-	// Restarts counts generations that started again on another engine.
+	// Restarts counts generations that were started again on another engine.
 	Restarts prometheus.Counter
-	// Retries counts retries that were taken from the budgets.
+	// Retries counts retries, each of which used up a part of a retry budget.
 	Retries prometheus.Counter
 }
 
-// NewMetrics returns metrics in a registry of their own.
+// NewMetrics returns metrics in a new registry.
 func NewMetrics() *Metrics {
 	met := &Metrics{
 		Registry:      prometheus.NewRegistry(),
@@ -56,12 +56,12 @@
 	return met
 }
 
-// Gauge registers a gauge that is read when the metrics are.
+// Gauge registers a gauge whose value is read from a function at each scrape.
 func (met *Metrics) Gauge(name, help string, read func() float64) {
 	met.Registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Namespace: namespace, Name: name, Help: help}, read))
 }
 
-// Counter registers a counter that is read when the metrics are.
+// Counter registers a counter whose value is read from a function at each scrape.
 func (met *Metrics) Counter(name, help string, read func() float64) {
 	met.Registry.MustRegister(prometheus.NewCounterFunc(prometheus.CounterOpts{Namespace: namespace, Name: name, Help: help}, read))
 }
