--- a/provider/http.go
+++ b/provider/http.go
@@ -16,28 +16,28 @@
 )
 
 const (
-	// maxResponseBytes bounds a response of the platform.
+	// maxResponseBytes is the longest response that is read from a service of the platform.
 	maxResponseBytes = 64 << 20
 	defaultPageBytes = 8 << 20
-	// responseMargin is the time a response may take beyond the wait that the request asked for.
+	// responseMargin is the time-out of a request, in addition to the wait for records that it asks for.
 	responseMargin = 2 * time.Second
 )
 
-// HTTPLog is the log service over HTTP.
+// HTTPLog is a client of the log service over HTTP.
 type HTTPLog struct {
 	URL    string
 	Client *http.Client
-	// PageBytes bounds the bodies of one page of records, which the log may exceed by one record.
+	// PageBytes is the size limit for the bodies of one page of records; the log may exceed it by one record.
 	PageBytes int
 }
 
-// NewHTTPLog returns an adapter for the log at a base URL.
+// NewHTTPLog returns a client of the log at a base URL.
 func NewHTTPLog(baseURL string) *HTTPLog {
 	return &HTTPLog{URL: baseURL, Client: &http.Client{}, PageBytes: defaultPageBytes}
 }
 
 // Append adds a record and returns its offset.
-// After an error for which NotSent is false the record may or may not be on the log.
+// After an error for which NotSent is false the log may or may not contain the record.
 func (hlg *HTTPLog) Append(ctx context.Context, stream string, body []byte) (int64, error) {
 	var reply struct {
 		Offset int64 `json:"offset"`
@@ -49,7 +49,7 @@
 	return reply.Offset, nil
 }
 
-// Read returns the records from an offset on, waiting up to the given time for the first.
+// Read returns all records from an offset on, page by page. It waits up to the given time for the first record.
 func (hlg *HTTPLog) Read(ctx context.Context, stream string, from int64, wait time.Duration) (Batch, error) {
 	bat, err := hlg.ReadPage(ctx, stream, from, wait)
 	for err == nil && bat.More && len(bat.Records) > 0 {
@@ -67,7 +67,8 @@
 	return bat, nil
 }
 
-// ReadPage returns as many records from an offset on as the log puts into one response.
+// ReadPage returns the records from an offset on that the log sends in one response. After an error it closes the idle
+// connections.
 func (hlg *HTTPLog) ReadPage(ctx context.Context, stream string, from int64, wait time.Duration) (Batch, error) {
 	ctx, cancel := context.WithTimeout(ctx, wait+responseMargin)
 	defer cancel()
@@ -83,13 +84,13 @@
 	return bat, nil
 }
 
-// HTTPVMList is the VM list over HTTP.
+// HTTPVMList is a client of the VM list over HTTP.
 type HTTPVMList struct {
 	URL    string
 	Client *http.Client
 }
 
-// NewHTTPVMList returns an adapter for the VM list at a base URL.
+// NewHTTPVMList returns a client of the VM list at a base URL.
 func NewHTTPVMList(baseURL string) *HTTPVMList {
 	return &HTTPVMList{URL: baseURL, Client: &http.Client{Timeout: responseMargin}}
 }
@@ -103,18 +104,18 @@
 	return vms, nil
 }
 
-// HTTPWeightStore is the weight store over HTTP.
+// HTTPWeightStore is a client of the weight store over HTTP.
 type HTTPWeightStore struct {
 	URL    string
 	Client *http.Client
 }
 
-// NewHTTPWeightStore returns an adapter for the weight store at a base URL.
+// NewHTTPWeightStore returns a client of the weight store at a base URL.
 func NewHTTPWeightStore(baseURL string) *HTTPWeightStore {
 	return &HTTPWeightStore{URL: baseURL, Client: &http.Client{Timeout: responseMargin}}
 }
 
-// Acquire takes a permit to load a model's weights.
+// Acquire requests a permit to load a model's weights; it returns an error if the weight store grants none.
 func (hws *HTTPWeightStore) Acquire(ctx context.Context, model string, size int64) error {
 	body, err := json.Marshal(struct {
 		Model string `json:"model"`
@@ -126,13 +127,14 @@
 	return trace.Wrap(exchange(ctx, hws.Client, http.MethodPost, hws.URL+"/loads", body, nil))
 }
 
-// NotSent reports whether a call failed before the service could act on it:
-// no connection came about, or the service refused the call because of its rate limit.
+// NotSent reports whether a call failed before the service could act on it: no connection could be opened, or the
+// service rejected the call because of its rate limit.
 func NotSent(err error) bool {
 	var opErr *net.OpError
 	return trace.IsLimitExceeded(err) || errors.As(err, &opErr) && opErr.Op == "dial"
 }
 
+// exchange sends a request and decodes the JSON response into reply unless that is nil.
 func exchange(ctx context.Context, clt *http.Client, method, target string, body []byte, reply any) error {
 	var reader io.Reader
 	if body != nil {
--- a/provider/http_test.go
+++ b/provider/http_test.go
@@ -10,9 +10,9 @@
 	"papayacroft/standin"
 )
 
-// Guards against a stream that can't be read because its records don't fit into one response, and against records
-// that are lost or doubled between two pages.
-func TestReadTakesPages(t *testing.T) {
+// Read must return every record of a stream whose records don't fit into one response, and must not lose or repeat any
+// between two pages.
+func TestReadFetchesAllPages(t *testing.T) {
 	var requests int
 	handler := standin.NewLog(1000).Handler()
 	server := httptest.NewServer(http.HandlerFunc(func(wri http.ResponseWriter, req *http.Request) {
--- a/provider/provider.go
+++ b/provider/provider.go
@@ -1,4 +1,4 @@
-// Package provider reaches the services that the platform runs: the log, the VM list and the weight store.
+// Package provider holds the clients of the services that the platform runs: the log, the VM list and the weight store.
 package provider
 
 import (
@@ -13,9 +13,9 @@
 	Body   []byte    `json:"body"`
 }
 
-// Batch is the result of one read.
+// Batch is the result of one read of a log stream.
 type Batch struct {
-	// First is the oldest retained offset.
+	// First is the offset of the oldest record that the log still retains.
 	First int64 `json:"first"`
 	// Next is the offset to read from next.
 	Next    int64    `json:"next"`
@@ -24,7 +24,7 @@
 	More bool `json:"more,omitempty"`
 }
 
-// VMState is what the platform says of a VM.
+// VMState is the state of a VM in the platform's list.
 type VMState string
 
 // The states of a VM.
@@ -41,7 +41,7 @@
 	State         VMState `json:"state"`
 }
 
-// VMList is the platform's lagging list of VMs.
+// VMList is the platform's list of VMs, which reflects changes with a delay.
 type VMList interface {
 	VMs(ctx context.Context) ([]VM, error)
 }
