--- a/position/position.go
+++ b/position/position.go
@@ -1,4 +1,5 @@
-// Package position names a place in a stream so that a caller can resume it through any daemon.
+// Package position encodes and checks stream positions, with which a caller can resume a stream through any daemon.
+// A position is a text of three parts with dots in between: the encoded Stream, its signature and a token index.
 package position
 
 import (
@@ -16,34 +17,34 @@
 	"papayacroft/inventory"
 )
 
-// maxBytes bounds a position that a caller sends.
+// maxBytes is the longest position that is accepted from a caller.
 const maxBytes = 2048
 
-// maxIndex bounds a token's index, so that the next one can't overflow.
+// maxIndex is the highest token index that is accepted; the index of the next token can't overflow.
 const maxIndex = math.MaxInt32
 
-// Stream is what a daemon needs to attach to a generation that another daemon started.
+// Stream holds the data that a daemon needs to attach to a generation that another daemon started.
 type Stream struct {
 	Generation string `json:"generation"`
 	Endpoint   string `json:"endpoint"`
 	Model      string `json:"model"`
 	Class      string `json:"class"`
-	// Digest identifies the request's content.
+	// Digest is a digest of the request's content; it identifies the request.
 	Digest   string            `json:"digest,omitempty"`
 	Team     inventory.TeamRef `json:"team"`
 	Deadline time.Time         `json:"deadline"`
-	// MaxTokens bounds a whole answer; positions of streams leave it out.
+	// MaxTokens is the token limit of a response that is not streamed; positions of streams leave it out.
 	MaxTokens int `json:"maxTokens,omitempty"`
 }
 
-// Position is a stream and the number of tokens that the caller has.
+// Position is a stream with the number of its tokens that the caller has received.
 type Position struct {
 	Stream
 	// Next is the index of the next token to deliver.
 	Next int
 }
 
-// Signer makes and checks positions with the deployment's key.
+// Signer signs and verifies positions with the deployment's key.
 type Signer struct {
 	Key []byte
 }
@@ -53,7 +54,8 @@
 	return &Signer{Key: key}
 }
 
-// SerializeStream returns the signed part, which is the same for all tokens of a stream.
+// SerializeStream returns the encoded stream with its signature. This part of a position is the same for all tokens of
+// the stream.
 func (sgn *Signer) SerializeStream(stm Stream) (string, error) {
 	payload, err := json.Marshal(stm)
 	if err != nil {
@@ -63,12 +65,14 @@
 	return enc.EncodeToString(payload) + "." + enc.EncodeToString(sgn.sum(payload)), nil
 }
 
-// Serialize appends the index of the last delivered token to the signed part, or -1 before the first.
+// Serialize returns a position: the signed part of SerializeStream with the index of the last delivered token, or -1
+// before the first token.
 func Serialize(signed string, index int) string {
 	return signed + "." + strconv.Itoa(index)
 }
 
-// Parse checks a position that a caller sent.
+// Parse decodes a position that a caller sent. It returns an error if the position is malformed, has an invalid
+// signature or has expired.
 func (sgn *Signer) Parse(now time.Time, text string) (Position, error) {
 	if len(text) > maxBytes {
 		return Position{}, trace.BadParameter("position is longer than %d bytes", maxBytes)
@@ -80,7 +84,8 @@
 	if len(parts) != 3 {
 		return Position{}, trace.BadParameter("position does not have three parts")
 	}
-	// Without Strict several texts decode to the same signed bytes.
+	// Without Strict, several texts would decode to the same signed bytes, and a caller could alter a position without
+	// invalidating its signature.
 	enc := base64.RawURLEncoding.Strict()
 	payload, err := enc.DecodeString(parts[0])
 	if err != nil {
--- a/position/position_test.go
+++ b/position/position_test.go
@@ -21,8 +21,8 @@
 	return text
 }
 
-// Guards against positions that another key signed, that expired, or whose index is out of bounds.
-func TestParseRefuses(t *testing.T) {
+// Parse must reject malformed and expired positions, those signed with another key and those with an index out of range.
+func TestParseRejectsInvalidPositions(t *testing.T) {
 	sgn := NewSigner([]byte("key"))
 	good := signed(t, "key")
 	pos, err := sgn.Parse(now, Serialize(good, -1))
@@ -42,7 +42,8 @@
 	}
 }
 
-// FuzzParse guards against forged positions: only texts with the signed part parse, whatever their index.
+// FuzzParse checks that forged positions are rejected: a text may parse only if it contains the signed stream, whatever
+// its index.
 func FuzzParse(f *testing.F) {
 	good := signed(f, "key")
 	f.Add(Serialize(good, 7))
