--- a/document/document.go
+++ b/document/document.go
@@ -1,4 +1,4 @@
-// Package document decodes operators' YAML files strictly and remembers the place of every field.
+// Package document decodes operators' YAML files strictly and records the line and column of every field.
 package document
 
 import (
@@ -16,20 +16,21 @@
 	"papayacroft/finding"
 )
 
-// MaxBytes bounds the size of a document.
+// MaxBytes is the largest size of a document.
 const MaxBytes = 16 << 20
 
-// Document is a decoded file with the places of its fields.
+// Document is a decoded file with the location of each field.
 type Document struct {
-	File   string
-	places map[string]*yaml.Node
+	File string
+	// nodes holds the YAML node of each field by its path.
+	nodes map[string]*yaml.Node
 }
 
 // Decode reads a YAML document into the struct that target points to.
 // Unknown keys, duplicate keys, missing keys of fields tagged required:"true", wrong types
 // and an empty document each become a finding.
 func Decode(file string, data []byte, target any) (*Document, finding.List) {
-	doc := &Document{File: file, places: map[string]*yaml.Node{}}
+	doc := &Document{File: file, nodes: map[string]*yaml.Node{}}
 	if len(data) > MaxBytes {
 		return doc, doc.oneFinding(1, fmt.Sprintf("file has %d bytes; at most %d are allowed", len(data), MaxBytes))
 	}
@@ -55,8 +56,8 @@
 	return doc, lst
 }
 
-// Locate fills in file, line and column of findings that have a path only.
-// A path that the file does not contain gets the place of its nearest parent.
+// Locate fills in the file, line and column of findings that have only a path.
+// A path that the file does not contain gets the location of its nearest parent.
 func (doc *Document) Locate(lst finding.List) {
 	for i := range lst {
 		if lst[i].File != "" {
@@ -64,7 +65,7 @@
 		}
 		lst[i].File, lst[i].Line, lst[i].Column = doc.File, 1, 1
 		for path := lst[i].Path; path != ""; path = parentPath(path) {
-			if nd, ok := doc.places[path]; ok {
+			if nd, ok := doc.nodes[path]; ok {
 				lst[i].Line, lst[i].Column = nd.Line, nd.Column
 				break
 			}
@@ -74,7 +75,7 @@
 
 // Has reports whether the file contains the path.
 func (doc *Document) Has(path string) bool {
-	_, ok := doc.places[path]
+	_, ok := doc.nodes[path]
 	return ok
 }
 
@@ -90,7 +91,7 @@
 
 func (doc *Document) decode(lst *finding.List, nd *yaml.Node, path string, val reflect.Value) {
 	if path != "" {
-		doc.places[path] = nd
+		doc.nodes[path] = nd
 	}
 	if nd.Kind == yaml.AliasNode {
 		doc.add(lst, nd, path, "YAML aliases are not allowed")
@@ -167,7 +168,7 @@
 	}
 }
 
-// itemPath names a list item by its name field where it has one, else by its index.
+// itemPath returns the path of a list item, with the value of its name field in brackets, or else its index.
 func itemPath(path string, nd *yaml.Node, index int) string {
 	name := strconv.Itoa(index)
 	if nd.Kind == yaml.MappingNode {
@@ -252,7 +253,7 @@
 
 var linePattern = regexp.MustCompile(`line (\d+)`)
 
-// syntaxErrorLine takes the line from an error of the YAML library, which has no field for it.
+// syntaxErrorLine parses the line out of the message of a YAML error, since the error type has no field for it.
 func syntaxErrorLine(err error) int {
 	match := linePattern.FindStringSubmatch(err.Error())
 	if match == nil {
--- a/document/duration.go
+++ b/document/duration.go
@@ -6,7 +6,7 @@
 	"github.com/gravitational/trace"
 )
 
-// Duration is a time span written with a unit, such as 250ms or 1h.
+// Duration is a duration that is written with a unit, such as 250ms or 1h.
 type Duration time.Duration
 
 // UnmarshalText parses a duration with its unit.
@@ -24,7 +24,7 @@
 	return []byte(time.Duration(dur).String()), nil
 }
 
-// Allowed says which values a duration field takes.
+// Allowed describes the values that a duration field accepts.
 func (dur *Duration) Allowed() string {
 	return "a duration with its unit, such as 250ms, 10s or 1h"
 }
--- a/finding/finding.go
+++ b/finding/finding.go
@@ -1,4 +1,4 @@
-// Package finding collects problems in operators' files with the place of each.
+// Package finding collects problems in operators' files with the location of each.
 package finding
 
 import (
@@ -32,12 +32,12 @@
 // List holds findings that are reported together.
 type List []Finding
 
-// Add appends a finding that has a path but no place yet.
+// Add appends a finding with a path; document.Document.Locate fills in its file, line and column.
 func (lst *List) Add(path, format string, args ...any) {
 	*lst = append(*lst, Finding{Path: path, Message: fmt.Sprintf(format, args...)})
 }
 
-// Sort orders the findings by file and place.
+// Sort orders the findings by file, line and column.
 func (lst List) Sort() {
 	sort.SliceStable(lst, func(i, j int) bool {
 		if lst[i].File != lst[j].File {
@@ -58,12 +58,12 @@
 	return &Error{Findings: lst}
 }
 
-// Error carries all findings of one check.
+// Error is an error that consists of all findings of one check.
 type Error struct {
 	Findings List
 }
 
-// Error prints one finding a line.
+// Error returns the findings, one on each line.
 func (err *Error) Error() string {
 	lines := make([]string, 0, len(err.Findings))
 	for _, fnd := range err.Findings {
