--- a/configuration/cost_test.go
+++ b/configuration/cost_test.go
@@ -9,7 +9,8 @@
 	"papayacroft/provider"
 )
 
-// largeConfiguration has organisations with three teams each, 16 owners that approve them, and one endpoint per six organisations.
+// largeConfiguration returns a valid configuration with the given number of organisations of three teams each,
+// 16 owners that approve these teams, and one endpoint per six organisations.
 func largeConfiguration(organisations int) *inventory.Configuration {
 	cfg, _ := (&inventory.Configuration{}).Apply(nil)
 	cfg.Classes["writeUp"] = inventory.Class{Name: "writeUp", Worth: 1, Deadline: 1e9}
@@ -40,7 +41,7 @@
 	return cfg
 }
 
-// BenchmarkApply measures a record that changes one organisation, with the index that follows.
+// BenchmarkApply measures applying a publish that changes one organisation, including the update of the index.
 func BenchmarkApply(b *testing.B) {
 	for _, organisations := range []int{10, 1000, 6200} {
 		b.Run(fmt.Sprintf("organisations=%d", organisations), func(b *testing.B) {
@@ -70,7 +71,7 @@
 	}
 }
 
-// BenchmarkSnapshot measures a snapshot, as appended and as adopted.
+// BenchmarkSnapshot measures composing a snapshot (with its size) and adopting one.
 func BenchmarkSnapshot(b *testing.B) {
 	sta := NewState()
 	sta.Current = Version{Number: 1, Configuration: largeConfiguration(6200)}
@@ -94,7 +95,7 @@
 	})
 }
 
-// BenchmarkMemory measures the memory that a configuration and its index hold, and an endpoint's part of it.
+// BenchmarkMemory measures the memory of a configuration with its index, per organisation and per endpoint.
 func BenchmarkMemory(b *testing.B) {
 	for b.Loop() {
 		before := heapBytes()
@@ -120,7 +121,7 @@
 	return stats.HeapAlloc
 }
 
-// BenchmarkInvalidPublish measures judging a publish whose organisation has the credential of another.
+// BenchmarkInvalidPublish measures the validation of a publish that gives an organisation a credential of another one.
 func BenchmarkInvalidPublish(b *testing.B) {
 	idx := inventory.NewIndex(largeConfiguration(6200))
 	value := fmt.Sprintf(`{"name":"organisation-1","teams":[{"name":"team-0","credentialDigests":[%q]}]}`, inventory.CredentialDigest("organisation-2team-0"))
--- a/configuration/cover_test.go
+++ b/configuration/cover_test.go
@@ -7,8 +7,9 @@
 	"papayacroft/provider"
 )
 
-// Guards against snapshots of a large configuration that every daemon reads far more often than publishes call for.
-func TestSnapshotsFollowTheSizeOfPublishes(t *testing.T) {
+// Guards against needless traffic: if a fixed number of small publishes made a snapshot due, every daemon would
+// read a snapshot of a large configuration far more often than the size of the publishes justifies.
+func TestSnapshotIntervalDependsOnPublishSize(t *testing.T) {
 	now := time.Unix(1_700_000_000, 0)
 	tests := []struct {
 		name                      string
@@ -23,14 +24,14 @@
 	for _, tst := range tests {
 		t.Run(tst.name, func(t *testing.T) {
 			sta := NewState()
-			sta.cover.snapshot(1, now, tst.snapshotSize)
+			sta.coverage.addSnapshot(1, now, tst.snapshotSize)
 			for i := range tst.count {
-				sta.cover.record(provider.Record{Offset: int64(i + 1), At: now, Body: make([]byte, tst.size)}, true)
+				sta.coverage.addRecord(provider.Record{Offset: int64(i + 1), At: now, Body: make([]byte, tst.size)}, true)
 			}
 			if got := sta.SnapshotDue(now, 24*time.Hour); got != tst.want {
 				t.Errorf("got due %t after %d publishes; want %t", got, tst.count, tst.want)
 			}
-			sta.cover.snapshot(int64(tst.count+1), now, tst.snapshotSize)
+			sta.coverage.addSnapshot(int64(tst.count+1), now, tst.snapshotSize)
 			if sta.SnapshotDue(now, 24*time.Hour) {
 				t.Error("got due after a snapshot; want not due")
 			}
--- a/configuration/model_test.go
+++ b/configuration/model_test.go
@@ -10,7 +10,7 @@
 	"papayacroft/provider"
 )
 
-// modelLog is a log stream in memory with a clock of its own.
+// modelLog is an in-memory log stream with a simulated clock.
 type modelLog struct {
 	first   int64
 	records []provider.Record
@@ -37,7 +37,7 @@
 	log.append(body)
 }
 
-// publish sets one class; a worth of 0 makes the record invalid.
+// publish appends a publish that sets one class; with a worth of 0 the publish is invalid.
 func (log *modelLog) publish(id string, basedOn int64, class string, worth int) {
 	value := fmt.Sprintf(`{"name":%q,"worth":%d,"deadline":"1s"}`, class, worth)
 	log.appendRecord(&Record{Publish: &Publish{PublishID: id, BasedOn: basedOn, Author: "operator", Changes: []inventory.Change{
@@ -52,7 +52,7 @@
 	}
 }
 
-// read brings a node up to an offset, or to the end if it is 0.
+// read applies the records up to and including offset to, or up to the end of the log if to is 0.
 func (log *modelLog) read(sta *State, to int64) []error {
 	bat := provider.Batch{First: log.first, Next: log.next()}
 	for _, rec := range log.records {
@@ -67,7 +67,7 @@
 	return errs
 }
 
-// content names the classes and their worth, which stand for the whole configuration.
+// content formats the classes with their worth; the tests compare configurations by this text.
 func content(cfg *inventory.Configuration) string {
 	var sb strings.Builder
 	for _, chg := range must(inventory.Diff(&inventory.Configuration{}, cfg)) {
@@ -92,7 +92,7 @@
 }
 
 func fetch(t testing.TB, sta, peer *State) {
-	rep, err := peer.View().Answer(FetchRequest{Version: sta.Current.Number, ReadTo: sta.Judged})
+	rep, err := peer.View().Answer(FetchRequest{Version: sta.Current.Number, ReadTo: sta.AppliedTo})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/configuration/rapid_test.go
+++ b/configuration/rapid_test.go
@@ -18,15 +18,15 @@
 	rapidRetention = 64 * time.Second
 )
 
-// cluster is the model that rapid drives: daemons that read one log in any interleaving.
+// cluster is the state machine that rapid drives: daemons that read the same log in any interleaving.
 type cluster struct {
 	log   *modelLog
 	nodes []*State
-	// floors holds the newest version of each VM.
-	floors []int64
-	// reference reads every record at once and is never restarted.
+	// lastVersions holds the newest version that each daemon has had since its last restart.
+	lastVersions []int64
+	// reference applies every record as soon as it is appended and is never restarted.
 	reference *State
-	// contents holds what each version is, as the first daemon in it had it.
+	// contents holds the content of each version, as found on the first daemon that reached it.
 	contents  map[int64]string
 	published []string
 }
@@ -35,7 +35,7 @@
 	clu := &cluster{log: newModelLog(), reference: NewState(), contents: map[int64]string{}}
 	for range rapidNodes {
 		clu.nodes = append(clu.nodes, NewState())
-		clu.floors = append(clu.floors, 0)
+		clu.lastVersions = append(clu.lastVersions, 0)
 	}
 	return clu
 }
@@ -72,24 +72,25 @@
 func (clu *cluster) fetch(t *rapid.T) {
 	pos, sta := clu.node(t)
 	other, peer := clu.node(t)
-	rep, err := peer.View().Answer(FetchRequest{Version: sta.Current.Number, ReadTo: sta.Judged})
+	rep, err := peer.View().Answer(FetchRequest{Version: sta.Current.Number, ReadTo: sta.AppliedTo})
 	if err != nil {
 		t.Fatal(err)
 	}
-	// Records that waited for the adopted version may prove invalid; that is reported, but is no failure.
+	// AdoptReply also applies the pending records and returns an error for an invalid one, which is no fault of the fetch.
 	if _, err := sta.AdoptReply(rep); err != nil && !strings.Contains(err.Error(), "is invalid") {
 		t.Fatalf("node %d from %d: %v", pos, other, err)
 	}
 }
 
-// restart loses the memory of a daemon; a new one counts on the log and on its peers.
+// restart replaces a daemon by one with an empty state, which has to catch up from the log and from peers.
 func (clu *cluster) restart(t *rapid.T) {
 	pos, _ := clu.node(t)
 	clu.nodes[pos] = NewState()
-	clu.floors[pos] = 0
+	clu.lastVersions[pos] = 0
 }
 
-// pass lets time pass, with one daemon that keeps the retention rule, and drops what is too old.
+// pass advances the clock and expires old records. Before that, the reference appends a snapshot if one is due;
+// it is the only daemon that does so.
 func (clu *cluster) pass(t *rapid.T) {
 	clu.log.now = clu.log.now.Add(time.Duration(rapid.IntRange(1, int(rapidRetention/time.Second)/4).Draw(t, "seconds")) * time.Second)
 	if clu.reference.SnapshotDue(clu.log.now, rapidRetention) {
@@ -101,7 +102,9 @@
 	}
 }
 
-// check compares every daemon with the reference.
+// check verifies that daemons with the same version have the same content and a correct index, that daemons which
+// applied the same records have the same outcomes, that no daemon returns to an older version, and that a daemon
+// with an empty state reaches the newest version from the log alone.
 func (clu *cluster) check(t *rapid.T) {
 	for pos, sta := range append([]*State{clu.reference}, clu.nodes...) {
 		if want, ok := clu.contents[sta.Current.Number]; !ok {
@@ -112,16 +115,16 @@
 		if got, want := sta.Index(), inventory.NewIndex(sta.Current.Configuration); !reflect.DeepEqual(got, want) {
 			t.Fatalf("got index %+v of node %d; want %+v", got, pos-1, want)
 		}
-		if sta.Judged == clu.reference.Judged && fmt.Sprint(sta.Outcomes) != fmt.Sprint(clu.reference.Outcomes) {
+		if sta.AppliedTo == clu.reference.AppliedTo && fmt.Sprint(sta.Outcomes) != fmt.Sprint(clu.reference.Outcomes) {
 			t.Fatalf("got outcomes %v of node %d; want %v", sta.Outcomes, pos-1, clu.reference.Outcomes)
 		}
 		if pos == 0 {
 			continue
 		}
-		if sta.Current.Number < clu.floors[pos-1] {
-			t.Fatalf("got version %d on node %d after %d; want no older one", sta.Current.Number, pos-1, clu.floors[pos-1])
+		if sta.Current.Number < clu.lastVersions[pos-1] {
+			t.Fatalf("got version %d on node %d after %d; want no older one", sta.Current.Number, pos-1, clu.lastVersions[pos-1])
 		}
-		clu.floors[pos-1] = sta.Current.Number
+		clu.lastVersions[pos-1] = sta.Current.Number
 	}
 	fresh := NewState()
 	clu.log.read(fresh, 0)
@@ -130,8 +133,8 @@
 	}
 }
 
-// Guards against daemons that disagree on a version, go back, or lose an accepted version,
-// under any interleaving of publishes, duplicates, late snapshots, expiry, restarts and fetches.
+// Guards against daemons that disagree on the content of a version, return to an older version or lose an accepted
+// one, under any interleaving of publishes, duplicates, late snapshots, expiry, restarts and fetches.
 func TestDaemonsAgree(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		clu := newCluster()
@@ -147,7 +150,8 @@
 	})
 }
 
-// Guards against daemons that all append a snapshot at once, and against one that never does.
+// Guards against a missing random delay, with which all daemons would append a snapshot at the same time, and
+// against a delay that starts anew on each step, with which no daemon would ever append one.
 func TestScheduleDelays(t *testing.T) {
 	now := time.Now()
 	sch := Schedule{Retention: time.Hour, Rand: rand.New(rand.NewPCG(1, 2))}
--- a/configuration/record.go
+++ b/configuration/record.go
@@ -25,7 +25,7 @@
 	Snapshot *Snapshot `json:"snapshot,omitempty"`
 }
 
-// Publish asks for changes to the version that it is based on.
+// Publish requests changes to the version that it is based on.
 type Publish struct {
 	PublishID string             `json:"publishId"`
 	BasedOn   int64              `json:"basedOn"`
@@ -33,22 +33,23 @@
 	Changes   []inventory.Change `json:"changes"`
 }
 
-// Snapshot holds a whole version.
+// Snapshot holds the whole configuration of one version.
 type Snapshot struct {
 	Version int64 `json:"version"`
-	// Offset is the offset of the publish that made the version.
+	// Offset is the offset of the record that created the version: a publish, or a restore's snapshot.
 	Offset int64 `json:"offset"`
 	// ReadTo is the offset before which every record is reflected in the snapshot.
-	// Without it a reader can't tell a current snapshot from one that a slow daemon appended late.
+	// Without it a reader could not distinguish a current snapshot from one that a slow daemon appended late.
 	ReadTo int64 `json:"readTo"`
-	// CoveredAt is set in a transfer between daemons: the time of the oldest record that a new reader of the log needs.
+	// CoveredAt is the time of the oldest record that a new reader of the log needs.
+	// It is set only in a snapshot that a daemon sends to a peer.
 	CoveredAt time.Time `json:"coveredAt,omitzero"`
 	// Content is the configuration as JSON, compressed with gzip.
 	Content  []byte    `json:"content"`
 	Outcomes []Outcome `json:"outcomes"`
 }
 
-// ParseRecord reads a record and refuses what is not exactly one publish or snapshot.
+// ParseRecord decodes a record, which must hold exactly one publish or one snapshot.
 func ParseRecord(body []byte) (*Record, error) {
 	dec := json.NewDecoder(bytes.NewReader(body))
 	dec.DisallowUnknownFields()
@@ -65,7 +66,7 @@
 	return &rec, nil
 }
 
-// Serialize formats the record for the log.
+// Serialize encodes the record as JSON for the log.
 func (rec *Record) Serialize() ([]byte, error) {
 	data, err := json.Marshal(rec)
 	return data, trace.Wrap(err)
--- a/configuration/record_fuzz_test.go
+++ b/configuration/record_fuzz_test.go
@@ -7,7 +7,8 @@
 	"papayacroft/provider"
 )
 
-// FuzzParseRecord guards against log records that crash a daemon, or that only some daemons can read.
+// FuzzParseRecord guards against log records that crash a daemon, and against records that are accepted
+// but can't be encoded and parsed again.
 func FuzzParseRecord(f *testing.F) {
 	for _, seed := range []string{
 		`{"publish":{"publishId":"p","basedOn":0,"changes":[]}}`,
--- a/configuration/schedule.go
+++ b/configuration/schedule.go
@@ -5,19 +5,23 @@
 	"time"
 )
 
-// maxSnapshotDelay spreads the daemons' snapshots: with 400 daemons the first appends after 0.1 s
-// on average, and the others read its record before their own delay ends.
+// maxSnapshotDelay bounds the random delay before a daemon appends a due snapshot, so that the daemons don't all
+// append one: with 400 daemons the shortest delay is 0.1 s on average, and the other daemons read that snapshot
+// before their own delay ends.
 const maxSnapshotDelay = 30 * time.Second
 
-// Schedule decides when this daemon appends a snapshot.
+// Schedule decides when a daemon appends a snapshot that is due.
 type Schedule struct {
 	Retention time.Duration
 	Rand      *rand.Rand
 
+	// appendAt is the end of the current delay, or zero if no snapshot is due.
 	appendAt time.Time
 }
 
-// Step reports whether to append now. A due snapshot that another daemon appends stops being due.
+// Step is called periodically with whether a snapshot is due, and reports whether to append one now.
+// It starts a random delay when a snapshot becomes due, and cancels it if the snapshot stops being due meanwhile,
+// because another daemon has appended one.
 func (sch *Schedule) Step(now time.Time, due bool) bool {
 	switch {
 	case !due:
@@ -30,7 +34,7 @@
 	case now.Before(sch.appendAt):
 		return false
 	default:
-		// A failed append is repeated after another delay.
+		// If the append fails, the snapshot is still due, so the next step starts another delay.
 		sch.appendAt = time.Time{}
 		return true
 	}
--- a/configuration/script_test.go
+++ b/configuration/script_test.go
@@ -15,7 +15,7 @@
 
 const scriptRetention = time.Hour
 
-// Each script in testdata names the failure that it guards against in its first line.
+// TestScripts runs the scripts in testdata. The first line of each states the failure that it guards against.
 func TestScripts(t *testing.T) {
 	files, err := filepath.Glob("testdata/*.txtar")
 	if err != nil || len(files) == 0 {
@@ -52,38 +52,38 @@
 		return scr.nodes[name]
 	}
 	switch args[0] {
-	case "node": // node NAME: a daemon that has just started
+	case "node": // node NAME: creates a daemon with an empty state
 		scr.nodes[args[1]] = NewState()
-	case "publish": // publish ID BASE CLASS WORTH
+	case "publish": // publish ID BASE CLASS WORTH: appends a publish that sets the worth of a class
 		scr.log.publish(args[1], int64(number(t, args[2])), args[3], number(t, args[4]))
-	case "garbage": // garbage: a record that is not JSON
+	case "garbage": // garbage: appends a record that is not valid JSON
 		scr.log.append([]byte("{"))
-	case "snapshot": // snapshot NODE
+	case "snapshot": // snapshot NODE: appends a snapshot of the node's state
 		scr.log.appendRecord(&Record{Snapshot: snapshotOf(t, node(args[1]))})
-	case "restore": // restore NODE CLASS WORTH: an operator restores what the node holds with one class
+	case "restore": // restore NODE CLASS WORTH: appends an operator's restore with one class, based on the node's version
 		held := node(args[1])
 		cfg := must((&inventory.Configuration{}).Apply([]inventory.Change{{
 			Kind: inventory.KindClass, Name: args[2], Value: fmt.Appendf(nil, `{"name":%q,"worth":%s,"deadline":"1s"}`, args[2], args[3]),
 		}}))
 		scr.log.appendRecord(&Record{Snapshot: must(Restore(scr.log.now, "restored", "operator",
-			[]Held{{held.Current.Number, held.Current.Offset, held.Outcomes}}, scr.log.next(), cfg))})
-	case "expire": // expire OFFSET: records before it are gone
+			[]ReportedVersion{{held.Current.Number, held.Current.Offset, held.Outcomes}}, scr.log.next(), cfg))})
+	case "expire": // expire OFFSET: removes the records before the offset
 		scr.log.expire(int64(number(t, args[1])))
-	case "later": // later DURATION
+	case "later": // later DURATION: advances the clock
 		dur, err := time.ParseDuration(args[1])
 		if err != nil {
 			t.Fatal(err)
 		}
 		scr.log.now = scr.log.now.Add(dur)
-	case "read": // read NODE [OFFSET]
+	case "read": // read NODE [OFFSET]: the node applies the records up to the offset, or all
 		to := 0
 		if len(args) > 2 {
 			to = number(t, args[2])
 		}
 		scr.errors = len(scr.log.read(node(args[1]), int64(to)))
-	case "fetch": // fetch NODE PEER
+	case "fetch": // fetch NODE PEER: the node fetches the newest version from the peer
 		fetch(t, node(args[1]), node(args[2]))
-	case "want": // want NODE FIELD VALUE...
+	case "want": // want NODE FIELD VALUE...: compares a field of the node's state
 		scr.want(t, node(args[1]), args[2], strings.Join(args[3:], " "))
 	default:
 		t.Fatalf("command %q is not known", args[0])
--- a/configuration/state.go
+++ b/configuration/state.go
@@ -12,32 +12,32 @@
 )
 
 const (
-	// keptOutcomes is the number of publish outcomes that a daemon remembers.
+	// keptOutcomes is the number of the most recent publish outcomes that a daemon keeps.
 	keptOutcomes = 256
-	// keptFindings bounds the findings of one outcome, which every snapshot repeats.
+	// keptFindings limits the findings kept in one outcome, because every snapshot contains all outcomes.
 	keptFindings = 20
-	// firstOffset is the offset of a stream's first record; a log that begins later has let records expire.
+	// firstOffset is the offset of a stream's first record; if the oldest record has a greater offset, records expired.
 	firstOffset = 1
 )
 
-// Version is a configuration in force.
+// Version is a numbered configuration with the offset of the record that created it.
 type Version struct {
 	Number        int64
 	Offset        int64
 	Configuration *inventory.Configuration
 }
 
-// Verdict is what became of a publish.
+// Verdict is the result of evaluating a publish.
 type Verdict string
 
-// The verdicts on a publish.
+// The verdicts on a publish. A superseded publish is based on a version older than the current one.
 const (
 	VerdictAccepted   Verdict = "accepted"
 	VerdictSuperseded Verdict = "superseded"
 	VerdictInvalid    Verdict = "invalid"
 )
 
-// Outcome is the verdict on one publish.
+// Outcome holds the verdict on one publish and, if it is accepted, the version that it created.
 type Outcome struct {
 	PublishID string       `json:"publishId"`
 	Author    string       `json:"author,omitempty"`
@@ -49,28 +49,28 @@
 	Findings  finding.List `json:"findings,omitempty"`
 }
 
-// State follows the configuration stream.
-// Current and Outcomes depend only on the records before Judged, so all daemons agree on them.
+// State is the result of applying the records of the configuration stream.
+// Current and Outcomes depend only on the records before AppliedTo, so daemons with equal AppliedTo agree on them.
 type State struct {
 	Current Version
-	// Outcomes is replaced, never modified in place.
+	// Outcomes is replaced and never modified in place, as views share it.
 	Outcomes []Outcome
-	// Judged is the offset before which every record is reflected in Current and Outcomes.
-	Judged int64
-	// Next is the offset to read from next; it is greater than Judged only while the state is behind.
+	// AppliedTo is the offset before which every record is reflected in Current and Outcomes.
+	AppliedTo int64
+	// Next is the offset to read from next; it is greater than AppliedTo only while the state is behind.
 	Next int64
 
-	// missingTo is the end of the records that expired before this state read them.
-	missingTo int64
-	// pending holds the records read while the state is behind.
-	pending []pendingRecord
-	cover   cover
-	recent  []acceptedChanges
-	// index is that of Current.Configuration, or an older one that Index replaces.
+	// expiredBefore is the offset before which records expired unread; it is set only if such a gap was found.
+	expiredBefore int64
+	// pending holds the records read while the state is behind; they are applied once a snapshot closes the gap.
+	pending  []pendingRecord
+	coverage coverage
+	recent   []acceptedChanges
+	// index belongs to Current.Configuration or to an older configuration; in the latter case Index rebuilds it.
 	index *inventory.Index
 }
 
-// pendingRecord is a record that waits for a snapshot; the body of one that isn't a publish is dropped.
+// pendingRecord is a record read while the state is behind. Only publishes keep their bodies.
 type pendingRecord struct {
 	provider.Record
 	publish bool
@@ -89,24 +89,26 @@
 	return sta.index
 }
 
-// InForce reports whether any configuration is in force.
+// InForce reports whether a configuration is in force.
 func (sta *State) InForce() bool {
 	return sta.Current.Number > 0
 }
 
 // Behind reports whether records expired that this state has neither read nor received in a snapshot.
-// It judges no record until a snapshot covers them.
+// While it is behind, the state queues publishes and evaluates them only after it has adopted a snapshot or delta
+// that reflects the expired records.
 func (sta *State) Behind() bool {
-	return sta.Judged < sta.missingTo
+	return sta.AppliedTo < sta.expiredBefore
 }
 
-// ApplyBatch judges the records that a read from an offset returned and reports whether the version changed.
-// Records that can't be read are passed over alike by all daemons; their errors are returned.
+// ApplyBatch applies the records that a read from the offset asked returned, and reports whether the version changed.
+// It ignores a batch that would leave a gap after Next. All daemons skip the same invalid records; their errors are
+// returned.
 func (sta *State) ApplyBatch(asked int64, bat provider.Batch) (bool, []error) {
 	if asked > sta.Next {
 		return false, nil
 	}
-	sta.noteFirst(bat.First)
+	sta.detectExpiry(bat.First)
 	before := sta.Current.Number
 	var errs []error
 	for _, rec := range bat.Records {
@@ -118,26 +120,26 @@
 	return sta.Current.Number != before, errs
 }
 
-// noteFirst takes in the oldest retained offset.
-func (sta *State) noteFirst(first int64) {
+// detectExpiry compares the oldest offset on the log with Next and marks the state as behind if unread records expired.
+func (sta *State) detectExpiry(first int64) {
 	if first <= sta.Next {
 		return
 	}
 	if sta.Next > 0 || first > firstOffset {
-		sta.missingTo = first
+		sta.expiredBefore = first
 	}
 	sta.advance(first)
 }
 
-// advance moves the reading position past records without effect.
+// advance moves Next forward, and AppliedTo with it unless the state is behind.
 func (sta *State) advance(next int64) {
 	sta.Next = max(sta.Next, next)
 	if !sta.Behind() {
-		sta.Judged = sta.Next
+		sta.AppliedTo = sta.Next
 	}
 }
 
-// Apply judges one record and reports whether the version changed.
+// Apply applies one record and reports whether the version changed.
 // Every daemon that applies the same records in offset order reaches the same version.
 func (sta *State) Apply(rec provider.Record) (bool, error) {
 	if rec.Offset < sta.Next {
@@ -159,7 +161,7 @@
 		}
 		sta.pending = append(sta.pending, waiting)
 	} else {
-		sta.cover.record(rec, publish)
+		sta.coverage.addRecord(rec, publish)
 	}
 	switch {
 	case err != nil:
@@ -175,7 +177,7 @@
 
 func (sta *State) applySnapshot(rec provider.Record, snp *Snapshot) error {
 	if snp.ReadTo > rec.Offset || snp.Version < 0 {
-		return trace.BadParameter("snapshot of version %d, read to offset %d, can't be right", snp.Version, snp.ReadTo)
+		return trace.BadParameter("snapshot with version %d that reflects the records before offset %d is invalid", snp.Version, snp.ReadTo)
 	}
 	if sta.Behind() {
 		snp.CoveredAt = rec.At
@@ -183,14 +185,15 @@
 			return trace.Wrap(err)
 		}
 	}
-	sta.cover.snapshot(snp.ReadTo, rec.At, len(rec.Body))
+	sta.coverage.addSnapshot(snp.ReadTo, rec.At, len(rec.Body))
 	return nil
 }
 
-// Adopt takes over a snapshot of a newer version, or one that covers records that this state has missed,
-// and judges again the records that waited for it.
+// Adopt replaces the state by a snapshot that has a newer version or that reflects records which expired unread.
+// If the state is then no longer behind, it applies the pending records. Any other snapshot is ignored.
+// It reports whether the version changed.
 func (sta *State) Adopt(snp *Snapshot) (bool, error) {
-	if !sta.wants(snp.Version, snp.ReadTo) {
+	if !sta.isNewer(snp.Version, snp.ReadTo) {
 		return false, nil
 	}
 	cfg, err := decompress(snp.Content)
@@ -206,23 +209,24 @@
 	return sta.Current.Number != before, err
 }
 
-// wants reports whether a version with the records before an offset is newer than what this state has.
-func (sta *State) wants(version, readTo int64) bool {
+// isNewer reports whether a version that reflects the records before readTo should replace this state: its number
+// is greater, or it is equal, this state is behind and the version reflects more records.
+func (sta *State) isNewer(version, readTo int64) bool {
 	if version != sta.Current.Number {
 		return version > sta.Current.Number
 	}
-	return sta.Behind() && readTo > sta.Judged
+	return sta.Behind() && readTo > sta.AppliedTo
 }
 
 func (sta *State) replace(ver Version, readTo int64, coveredAt time.Time, outcomes []Outcome) error {
 	sta.Current, sta.Outcomes = ver, outcomes
-	sta.Judged = readTo
-	sta.cover = cover{readTo: readTo, at: coveredAt}
+	sta.AppliedTo = readTo
+	sta.coverage = coverage{readTo: readTo, at: coveredAt}
 	if sta.Behind() {
 		return nil
 	}
 	pending, next := sta.pending, sta.Next
-	sta.pending, sta.missingTo, sta.Next = nil, 0, readTo
+	sta.pending, sta.expiredBefore, sta.Next = nil, 0, readTo
 	if len(pending) == 0 {
 		return nil
 	}
@@ -230,7 +234,7 @@
 	for _, rec := range pending {
 		if !rec.publish {
 			if rec.Offset >= sta.Next {
-				sta.cover.record(rec.Record, false)
+				sta.coverage.addRecord(rec.Record, false)
 				sta.advance(rec.Offset + 1)
 			}
 			continue
@@ -250,26 +254,26 @@
 	out := Outcome{PublishID: pub.PublishID, Author: pub.Author, Offset: rec.Offset, At: rec.At, Changes: len(pub.Changes)}
 	if pub.BasedOn < sta.Current.Number {
 		out.Verdict = VerdictSuperseded
-		sta.remember(out)
+		sta.addOutcome(out)
 		return nil
 	}
-	next, lst := sta.judge(pub)
+	next, lst := sta.evaluate(pub)
 	if len(lst) > 0 {
 		out.Verdict, out.Findings = VerdictInvalid, lst[:min(len(lst), keptFindings)]
-		sta.remember(out)
+		sta.addOutcome(out)
 		return trace.Wrap(lst.Err(), "publish %s is invalid", pub.PublishID)
 	}
 	sta.Current = Version{Number: sta.Current.Number + 1, Offset: rec.Offset, Configuration: next.Configuration}
 	sta.index = next
 	out.Verdict, out.Version = VerdictAccepted, sta.Current.Number
-	sta.remember(out)
+	sta.addOutcome(out)
 	sta.keepChanges(pub.Changes, len(rec.Body))
 	return nil
 }
 
-// judge applies changes and validates the result.
-// A state that has missed nothing knows that a greater base version does not exist.
-func (sta *State) judge(pub *Publish) (*inventory.Index, finding.List) {
+// evaluate applies the changes of a publish and validates the result. It is called only while the state is not
+// behind, when it knows every version so far, so a base version greater than the current one does not exist.
+func (sta *State) evaluate(pub *Publish) (*inventory.Index, finding.List) {
 	var lst finding.List
 	if pub.BasedOn > sta.Current.Number {
 		lst.Add("basedOn", "version %d does not exist; the newest is %d", pub.BasedOn, sta.Current.Number)
@@ -282,7 +286,7 @@
 	return next, lst
 }
 
-func (sta *State) remember(out Outcome) {
+func (sta *State) addOutcome(out Outcome) {
 	sta.Outcomes = joinOutcomes(sta.Outcomes, []Outcome{out})
 }
 
@@ -291,7 +295,7 @@
 	return all[max(0, len(all)-keptOutcomes):]
 }
 
-// Outcome returns what became of a publish.
+// Outcome returns the outcome of a publish if it is among those kept.
 func (sta *State) Outcome(publishID string) (Outcome, bool) {
 	pos := slices.IndexFunc(sta.Outcomes, func(out Outcome) bool { return out.PublishID == publishID })
 	if pos < 0 {
--- a/configuration/transfer.go
+++ b/configuration/transfer.go
@@ -10,28 +10,28 @@
 )
 
 const (
-	// keptChanges is the number of versions for which a daemon can tell a peer the changes alone.
+	// keptChanges is the number of recent versions whose changes a daemon keeps to send a delta to a peer.
 	keptChanges = 64
-	// maxKeptChangeBytes bounds a record whose changes are kept; a peer gets a snapshot instead.
+	// maxKeptChangeBytes is the size of the largest publish whose changes are kept; peers get a snapshot of a larger one.
 	maxKeptChangeBytes = 32 << 10
 )
 
-// MethodFetch is the peers' method that returns the newest version.
+// MethodFetch is the method by which daemons fetch the newest version from a peer.
 const MethodFetch = "configuration.fetch"
 
-// FetchRequest tells a peer what the asking daemon has.
+// FetchRequest holds the requesting daemon's version and the offset before which it has applied every record.
 type FetchRequest struct {
 	Version int64 `json:"version"`
 	ReadTo  int64 `json:"readTo"`
 }
 
-// FetchReply holds a snapshot or a delta, or neither if the peer has nothing newer.
+// FetchReply holds a snapshot or a delta, or neither if the answering daemon has nothing newer.
 type FetchReply struct {
 	Snapshot *Snapshot `json:"snapshot,omitempty"`
 	Delta    *Delta    `json:"delta,omitempty"`
 }
 
-// Delta leads from the version that the asking daemon has to a newer one.
+// Delta holds the changes that turn the version Since of the requesting daemon into a newer one.
 type Delta struct {
 	Since     int64              `json:"since"`
 	Version   int64              `json:"version"`
@@ -39,7 +39,7 @@
 	ReadTo    int64              `json:"readTo"`
 	CoveredAt time.Time          `json:"coveredAt"`
 	Changes   []inventory.Change `json:"changes"`
-	// Outcomes are those of records that the asking daemon has not judged.
+	// Outcomes holds the outcomes of the publishes that the requesting daemon has not applied.
 	Outcomes []Outcome `json:"outcomes"`
 }
 
@@ -57,15 +57,16 @@
 	recent    []acceptedChanges
 }
 
-// View returns what peers and the log may be told of the state.
+// View returns a copy of the state from which snapshots are composed and fetch requests answered.
 func (sta *State) View() *View {
 	return &View{
-		Current: sta.Current, Outcomes: sta.Outcomes, ReadTo: sta.Judged,
-		CoveredAt: sta.cover.oldest(), recent: sta.recent,
+		Current: sta.Current, Outcomes: sta.Outcomes, ReadTo: sta.AppliedTo,
+		CoveredAt: sta.coverage.oldest(), recent: sta.recent,
 	}
 }
 
-// keepChanges remembers the changes that led to the current version.
+// keepChanges stores the changes that created the current version. If they are too large, it drops all stored
+// changes, because a delta needs the changes of every version in between.
 func (sta *State) keepChanges(changes []inventory.Change, size int) {
 	if size > maxKeptChangeBytes {
 		sta.recent = nil
@@ -75,7 +76,7 @@
 	sta.recent = all[max(0, len(all)-keptChanges):]
 }
 
-// Snapshot returns the version as a record.
+// Snapshot returns a snapshot of the current version.
 func (vew *View) Snapshot() (*Snapshot, error) {
 	content, err := compress(vew.Current.Configuration)
 	if err != nil {
@@ -87,7 +88,8 @@
 	}, nil
 }
 
-// Answer returns what the asking daemon lacks.
+// Answer returns a delta if the changes since the requested version are kept and a snapshot otherwise, or an empty
+// reply if the requesting daemon is up to date.
 func (vew *View) Answer(req FetchRequest) (*FetchReply, error) {
 	newer := vew.Current.Number > req.Version || vew.Current.Number == req.Version && vew.ReadTo > req.ReadTo
 	if !newer {
@@ -104,7 +106,7 @@
 	return &FetchReply{Snapshot: snp}, nil
 }
 
-// delta returns the changes since a version, or nil if they are not all kept.
+// delta returns the changes since the requested version, or nil if some of them are not kept.
 func (vew *View) delta(req FetchRequest) *Delta {
 	missing := vew.Current.Number - req.Version
 	if req.Version == 0 || missing > int64(len(vew.recent)) {
@@ -125,7 +127,7 @@
 	return dlt
 }
 
-// AdoptReply takes over what a peer sent and reports whether the version changed.
+// AdoptReply adopts the snapshot or delta of a peer's reply and reports whether the version changed.
 func (sta *State) AdoptReply(rep *FetchReply) (bool, error) {
 	switch {
 	case rep.Snapshot != nil:
@@ -138,7 +140,7 @@
 }
 
 func (sta *State) adoptDelta(dlt *Delta) (bool, error) {
-	if dlt.Since != sta.Current.Number || !sta.wants(dlt.Version, dlt.ReadTo) {
+	if dlt.Since != sta.Current.Number || !sta.isNewer(dlt.Version, dlt.ReadTo) {
 		return false, nil
 	}
 	next, lst, err := sta.Index().Apply(dlt.Changes)
