--- a/inventory/change.go
+++ b/inventory/change.go
@@ -8,7 +8,7 @@
 	"github.com/gravitational/trace"
 )
 
-// Kind names a kind of object in a change.
+// Kind is the kind of object that a change concerns.
 type Kind string
 
 // The kinds of object.
@@ -28,7 +28,7 @@
 	Value json.RawMessage `json:"value,omitempty"`
 }
 
-// Diff lists the changes that turn one configuration into another.
+// Diff returns the changes that turn one configuration into another.
 func Diff(from, to *Configuration) ([]Change, error) {
 	var changes []Change
 	var err error
@@ -74,7 +74,7 @@
 }
 
 // Apply returns a copy of the configuration with the changes made.
-// The copy shares the maps of the kinds that don't change, so neither may be modified in place afterwards.
+// The copy shares the maps of the kinds that don't change with the original, so neither may be modified in place.
 func (cfg *Configuration) Apply(changes []Change) (*Configuration, error) {
 	next := cfg.clone(changes)
 	for _, chg := range changes {
@@ -85,7 +85,8 @@
 	return next, nil
 }
 
-// clone copies the maps of the changed kinds, not the objects in them, which are never modified in place.
+// clone copies the maps of the changed kinds. It doesn't copy the objects in them, as these are never modified in
+// place.
 func (cfg *Configuration) clone(changes []Change) *Configuration {
 	next := *cfg
 	changed := namesByKind(changes)
@@ -105,7 +106,7 @@
 	}
 }
 
-// namesByKind lists the names of the objects that the changes set or remove.
+// namesByKind returns, for each kind, the names of the objects that the changes set or remove.
 func namesByKind(changes []Change) map[Kind]map[string]bool {
 	names := map[Kind]map[string]bool{}
 	for _, chg := range changes {
--- a/inventory/check.go
+++ b/inventory/check.go
@@ -6,9 +6,9 @@
 	"papayacroft/finding"
 )
 
-// check decides whether changes to a valid configuration lead to a valid one.
-// It looks at changed objects, at references to removed ones, and at unique values through the old index.
-// A rule added to Validate that relates two objects must be added here too.
+// check decides whether changes to a valid configuration give a valid one, without validating the whole.
+// It validates the changed objects, looks for references to removed ones, and compares values that must be unique
+// with the old index. A rule added to Validate that relates two objects must be added here too.
 type check struct {
 	old     *Index
 	next    *Configuration
@@ -20,10 +20,10 @@
 		chk.endpointsValid() && chk.classesValid()
 }
 
-// findings returns what Validate would return, at the cost of the change: it validates the organisations and owners
-// that a finding can be about, and all of the other kinds, of which there are few. Since the old configuration is
-// valid, such an organisation has changed or has a credential digest of one that has, and such an owner has changed
-// or approves a team that was removed.
+// findings returns the findings that Validate would return, without validating every organisation and owner.
+// It validates only those that can have a finding, and all objects of the other kinds, of which there are few.
+// Since the old configuration is valid, an organisation can have a finding only if it has changed or shares a
+// credential digest with a changed one, and an owner only if it has changed or approves a team that was removed.
 func (chk *check) findings() finding.List {
 	var lst finding.List
 	usedDigests := map[string]string{}
@@ -128,7 +128,8 @@
 	return len(lst) == 0
 }
 
-// modelsAndPoolsValid checks all pools if a model or class was removed, as few pools exist.
+// modelsAndPoolsValid validates the changed models and pools, or all pools if a model or class was removed.
+// The latter is cheap, as there are few pools.
 func (chk *check) modelsAndPoolsValid() bool {
 	var lst finding.List
 	for name := range chk.changed[KindModel] {
@@ -177,7 +178,7 @@
 	})
 }
 
-// classesValid checks all classes if any changed, as the order among them must have no cycle.
+// classesValid validates all classes if any has changed, because the relation outranks must have no cycle.
 func (chk *check) classesValid() bool {
 	var lst finding.List
 	if len(chk.changed[KindClass]) > 0 {
@@ -186,7 +187,7 @@
 	return len(lst) == 0
 }
 
-// removed reports whether any of the changed names does not exist any more.
+// removed reports whether any of the changed objects no longer exists.
 func removed[T any](changed map[string]bool, items map[string]T) bool {
 	for name := range changed {
 		if _, ok := items[name]; !ok {
--- a/inventory/configuration.go
+++ b/inventory/configuration.go
@@ -1,4 +1,5 @@
-// Package inventory holds what operators publish: organisations, owners, endpoints and rules.
+// Package inventory defines and validates the configuration that operators publish: organisations, owners, models,
+// pools, endpoints and rules.
 package inventory
 
 import (
@@ -41,26 +42,27 @@
 	Concurrent        int     `yaml:"concurrent" json:"concurrent,omitempty"`
 }
 
-// Owner answers for endpoints and approves teams, each as organisation/team.
+// Owner is the party that endpoints belong to. Only the teams that it approves, each given as organisation/team,
+// may use its endpoints.
 type Owner struct {
 	Name          string   `yaml:"name" required:"true" json:"name"`
 	ApprovedTeams []string `yaml:"approvedTeams" required:"true" json:"approvedTeams"`
 }
 
-// Model is a model with the version that engines should serve.
+// Model is a model in the version that engines are to serve.
 type Model struct {
 	Name    string `yaml:"name" required:"true" json:"name"`
 	Version string `yaml:"version" required:"true" json:"version"`
 	Adapter string `yaml:"adapter" json:"adapter,omitempty"`
 	// MaxTokens bounds the output of one generation.
 	MaxTokens int `yaml:"maxTokens" required:"true" json:"maxTokens"`
-	// WeightBytes is the size that loading takes from the weight store.
+	// WeightBytes is the size of the weights that an engine reads from the weight store to load the model.
 	WeightBytes int64 `yaml:"weightBytes" json:"weightBytes,omitempty"`
-	// MinEngines is the number of engines that keep the model loaded.
+	// MinEngines is the least number of engines that keep the model loaded.
 	MinEngines int `yaml:"minEngines" json:"minEngines,omitempty"`
 }
 
-// PoolKind says what kind of endpoint a pool has.
+// PoolKind is the kind of the endpoints in a pool.
 type PoolKind string
 
 // The kinds of pool.
@@ -69,7 +71,7 @@
 	PoolKindService PoolKind = "service"
 )
 
-// Allowed says which kinds exist.
+// Allowed describes the allowed kinds for findings.
 func (knd *PoolKind) Allowed() string {
 	return "engine or service"
 }
@@ -91,11 +93,11 @@
 	Method string `yaml:"method" required:"true" json:"method"`
 	Path   string `yaml:"path" required:"true" json:"path"`
 	Class  string `yaml:"class" required:"true" json:"class"`
-	// Repeatable is true if a second run of the same call does no harm.
+	// Repeatable is true if running the same call twice does no harm, so that it may be retried.
 	Repeatable bool `yaml:"repeatable" required:"true" json:"repeatable"`
 }
 
-// EndpointState is what the operator wants of an endpoint.
+// EndpointState is the state that the operator sets for an endpoint.
 type EndpointState string
 
 // The states of an endpoint.
@@ -104,7 +106,7 @@
 	EndpointDraining EndpointState = "draining"
 )
 
-// Allowed says which states exist.
+// Allowed describes the allowed states for findings.
 func (sta *EndpointState) Allowed() string {
 	return "serving or draining"
 }
@@ -123,9 +125,9 @@
 type Class struct {
 	Name     string   `yaml:"name" required:"true" json:"name"`
 	Outranks []string `yaml:"outranks" json:"outranks,omitempty"`
-	// Worth weighs a completed request in measures and load shedding.
+	// Worth is the weight of a completed request in measurements and load shedding.
 	Worth float64 `yaml:"worth" required:"true" json:"worth"`
-	// Deadline bounds the time a request may wait before it starts.
+	// Deadline is the maximum time that a request may wait before it starts.
 	Deadline document.Duration `yaml:"deadline" required:"true" json:"deadline"`
 }
 
--- a/inventory/credentials.go
+++ b/inventory/credentials.go
@@ -6,11 +6,12 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// credentialShards makes a shard about 70 digests at 6,200 organisations with three teams each,
-// so that a change copies two shards and the array (2 KB) instead of 18,600 entries.
+// credentialShards is the number of shards. With 6,200 organisations of three teams each, a shard holds about
+// 70 digests, so that a changed credential copies two shards and the array (2 KB) instead of 18,600 entries.
 const credentialShards = 256
 
-// credentials maps credential digests to teams; copies of it share the shards that do not differ.
+// credentials maps credential digests to teams. Copies share the shards that are equal in both, so a shard is
+// cloned before it is changed.
 type credentials struct {
 	shards [credentialShards]map[string]TeamRef
 }
@@ -30,24 +31,24 @@
 	(*shard)[digest] = ref
 }
 
-// replaced returns a copy without the digests of the old organisations and with those of the new ones.
+// replaced returns a copy without the digests of the old organisations and with those of the added ones.
 func (crd *credentials) replaced(old, added []Organisation) credentials {
 	next := *crd
 	copied := [credentialShards]bool{}
-	own := func(digest string) {
+	copyShard := func(digest string) {
 		if pos := shardOf(digest); !copied[pos] {
 			next.shards[pos], copied[pos] = maps.Clone(next.shards[pos]), true
 		}
 	}
 	eachDigest(old, func(digest string, _ TeamRef) {
-		own(digest)
+		copyShard(digest)
 		pos := shardOf(digest)
 		if delete(next.shards[pos], digest); len(next.shards[pos]) == 0 {
 			next.shards[pos] = nil
 		}
 	})
 	eachDigest(added, func(digest string, ref TeamRef) {
-		own(digest)
+		copyShard(digest)
 		next.add(digest, ref)
 	})
 	return next
--- a/inventory/derive.go
+++ b/inventory/derive.go
@@ -10,8 +10,9 @@
 	"papayacroft/finding"
 )
 
-// Apply makes the changes, validates the result and returns its index, or the findings of Validate.
-// The index must be that of a valid configuration. The cost follows the change, not the configuration.
+// Apply applies the changes, validates the result and returns its index, or the findings that Validate would return.
+// The receiver must be the index of a valid configuration. The cost of an update depends mostly on the number of
+// changed objects rather than on the size of the configuration.
 func (idx *Index) Apply(changes []Change) (*Index, finding.List, error) {
 	next, err := idx.Configuration.Apply(changes)
 	if err != nil {
@@ -26,7 +27,8 @@
 	return idx.derive(next, chk.changed), nil, nil
 }
 
-// derive returns the index of a valid configuration that differs from the old one in the changed names.
+// derive returns the index of a valid configuration that differs from the old one only in the changed objects.
+// It rebuilds only the tables that depend on them and shares the others with the old index.
 func (idx *Index) derive(next *Configuration, changed map[Kind]map[string]bool) *Index {
 	old, der := idx.Configuration, *idx
 	der.Configuration = next
@@ -54,7 +56,8 @@
 	return &der
 }
 
-// deriveEndpoints replaces the pools and addresses, which are those of the old index.
+// deriveEndpoints updates the tables of pools and addresses. It copies what it changes, because the old index
+// shares these tables. The parameters are the changed endpoints as in the old and in the next configuration.
 func (idx *Index) deriveEndpoints(old, added []Endpoint) {
 	idx.pools, idx.addresses = maps.Clone(idx.pools), maps.Clone(idx.addresses)
 	removed, touched := map[string]bool{}, map[string]bool{}
@@ -80,7 +83,7 @@
 	}
 }
 
-// pick lists the named objects that exist.
+// pick returns those of the named objects that exist.
 func pick[T any](items map[string]T, names map[string]bool) []T {
 	var picked []T
 	for name := range names {
--- a/inventory/derive_test.go
+++ b/inventory/derive_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-// exampleIndex returns a small valid configuration in which each kind of reference occurs.
+// exampleIndex returns the index of a small valid configuration in which each kind of reference occurs.
 func exampleIndex() *Index {
 	cfg := &Configuration{}
 	cfg.initialize()
@@ -54,7 +54,7 @@
 	return Pool{Name: name, Kind: PoolKindService, Operations: []Operation{{Name: "a", Method: "GET", Path: "/a", Class: drawName(t, "class")}}}
 }
 
-// drawObject returns an object that may break any rule that relates it to others, or the rules of its name.
+// drawObject returns an object that may have an invalid name, refer to a missing object or duplicate a unique value.
 func drawObject(t *rapid.T, knd Kind, name string) any {
 	if rapid.IntRange(0, 19).Draw(t, "misnamed") == 0 {
 		name = rapid.SampledFrom([]string{"", "a", "B"}).Draw(t, "otherName")
@@ -86,7 +86,7 @@
 	return chg
 }
 
-// deepCopy shares nothing with the original, so that a change in place shows.
+// deepCopy returns a copy that shares no memory with the original, so that a modification in place is detected.
 func deepCopy(t *rapid.T, cfg *Configuration) *Configuration {
 	data, err := json.Marshal(cfg)
 	if err != nil {
@@ -99,8 +99,10 @@
 	return fresh
 }
 
-// judge applies changes and compares the result with that of whole validation and of a rebuilt index.
-func judge(t *rapid.T, idx *Index, changes []Change) (*Index, bool) {
+// applyAndCompare applies changes incrementally and compares the findings with those of Validate on the whole
+// configuration, and the index with one built from scratch. It returns the index that is valid afterwards and
+// whether the changes were accepted.
+func applyAndCompare(t *rapid.T, idx *Index, changes []Change) (*Index, bool) {
 	before := deepCopy(t, idx.Configuration)
 	want, err := deepCopy(t, before).Apply(changes)
 	if err != nil {
@@ -131,16 +133,16 @@
 	return next, true
 }
 
-// Guards against changes that are judged other than by validation of the whole, which would make a daemon
-// that adopts a snapshot disagree with one that reads the log, against a derived index that differs from
-// a rebuilt one, and against changes to the old index, which requests still use.
-func TestChangesAreJudgedAsTheWhole(t *testing.T) {
+// Guards against three faults of applying changes incrementally: findings that differ from those of validating the
+// whole configuration, so that a daemon that adopts a snapshot disagrees with one that reads the log; an index that
+// differs from one built from scratch; and modifications of the old index, which requests in flight still use.
+func TestIncrementalApplyMatchesFullValidation(t *testing.T) {
 	verdicts := map[bool]int{}
 	rapid.Check(t, func(t *rapid.T) {
 		idx := exampleIndex()
 		for range rapid.IntRange(10, 40).Draw(t, "publishes") {
 			changes := rapid.SliceOfN(rapid.Custom(drawChange), 1, 4).Draw(t, "changes")
-			next, accepted := judge(t, idx, changes)
+			next, accepted := applyAndCompare(t, idx, changes)
 			verdicts[accepted]++
 			idx = next
 		}
--- a/inventory/file.go
+++ b/inventory/file.go
@@ -19,7 +19,7 @@
 	Classes []Class `yaml:"classes" required:"true"`
 }
 
-// Source is a file's name and content.
+// Source is the name and content of a file.
 type Source struct {
 	File string
 	Data []byte
@@ -42,7 +42,7 @@
 	return cfg, lst
 }
 
-// locate gives each finding the place in the file that has its path.
+// locate sets file, line and column of each finding from the document that contains the finding's path.
 func locate(lst finding.List, invDoc, rulDoc *document.Document) {
 	for i := range lst {
 		if root := rootOf(lst[i].Path); root == "classes" || rulDoc.Has(lst[i].Path) {
--- a/inventory/index.go
+++ b/inventory/index.go
@@ -32,7 +32,7 @@
 	return Team{}, false
 }
 
-// Index answers the look-ups of the traffic path; it never changes once built.
+// Index holds a configuration with the look-up tables for the handling of requests; it is immutable once built.
 type Index struct {
 	Configuration *Configuration
 	credentials   credentials
@@ -91,7 +91,8 @@
 	}
 }
 
-// rank computes the length of the longest chain of classes that the class outranks, once per class.
+// rank returns the length of the longest chain of classes that the class outranks. It stores the result, because
+// the cost would otherwise grow exponentially with the number of classes.
 func (idx *Index) rank(name string) int {
 	if known, ok := idx.ranks[name]; ok {
 		return known
@@ -124,12 +125,12 @@
 	return idx.modelPools[model]
 }
 
-// Rank returns a class's rank; a higher rank goes first.
+// Rank returns the rank of a class; requests of a class with a higher rank take precedence.
 func (idx *Index) Rank(class string) int {
 	return idx.ranks[class]
 }
 
-// Operation finds the operation of a service pool that a method and path match.
+// Operation finds the operation of a service pool that matches a method and path.
 func (idx *Index) Operation(pool, method, path string) (Operation, bool) {
 	operations := idx.Configuration.Pools[pool].Operations
 	pos := slices.IndexFunc(operations, func(opr Operation) bool {
@@ -155,7 +156,7 @@
 	return hex.EncodeToString(sum[:])
 }
 
-// ParseTeamRef reads organisation/team.
+// ParseTeamRef parses organisation/team.
 func ParseTeamRef(text string) TeamRef {
 	organisation, team, _ := strings.Cut(text, "/")
 	return TeamRef{Organisation: organisation, Team: team}
--- a/inventory/parse_test.go
+++ b/inventory/parse_test.go
@@ -16,7 +16,7 @@
 	return Source{File: file, Data: data}
 }
 
-// Guards against changes that don't turn one configuration into the other.
+// Guards against a Diff whose changes, applied to the first configuration, don't give the second one.
 func TestDiffAndApplyAgree(t *testing.T) {
 	examples := map[string]*Configuration{"empty": {}}
 	for _, name := range []string{"kowhai", "hooghly"} {
@@ -43,7 +43,7 @@
 	}
 }
 
-// Guards against panics and against findings without a place on arbitrary files.
+// Guards against panics on arbitrary files, and against findings without file, line and column.
 func FuzzParse(f *testing.F) {
 	for _, name := range []string{"kowhai", "hooghly"} {
 		f.Add(source(f, "../examples/"+name+"/inventory.yaml").Data, source(f, "../examples/"+name+"/rules.yaml").Data)
@@ -64,7 +64,8 @@
 	})
 }
 
-// Guards against a cost that doubles with each class, which let 40 classes stop every daemon.
+// Guards against an exponential cost of computing ranks: when the cost doubled with each class,
+// a publish of 40 classes that outrank each other blocked every daemon.
 func TestRankOfManyOrderedClasses(t *testing.T) {
 	cfg := &Configuration{Classes: map[string]Class{}}
 	var lower []string
--- a/inventory/validate.go
+++ b/inventory/validate.go
@@ -16,13 +16,13 @@
 )
 
 const (
-	maxNameBytes       = 100
-	maxClassDeadline   = time.Hour
-	maxOutputTokens    = 1 << 20
-	credentialDigestSz = 32
+	maxNameBytes          = 100
+	maxClassDeadline      = time.Hour
+	maxOutputTokens       = 1 << 20
+	credentialDigestBytes = 32
 )
 
-// NameRule says which names are allowed.
+// NameRule describes the allowed names; findings quote it.
 const NameRule = "1 to 100 letters, digits, dots, dashes and underscores that start with a lower-case letter or digit"
 
 var namePattern = regexp.MustCompile(`^[a-z0-9][a-zA-Z0-9._-]*$`)
@@ -33,7 +33,7 @@
 var allowedMethods = []string{http.MethodGet, http.MethodPost, http.MethodPut, http.MethodDelete, http.MethodPatch}
 
 // Validate checks the configuration as a whole and returns every finding.
-// Each daemon judges a published record by this function, so it depends on the configuration alone.
+// Its result depends on the configuration alone, so that all daemons accept or reject the same publishes.
 func (cfg *Configuration) Validate() finding.List {
 	var lst finding.List
 	cfg.validateOrganisations(&lst)
@@ -79,7 +79,7 @@
 	for i, dig := range digests {
 		digestPath := fmt.Sprintf("%s[%d]", path, i)
 		raw, err := hex.DecodeString(dig)
-		if err != nil || len(raw) != credentialDigestSz || dig != strings.ToLower(dig) {
+		if err != nil || len(raw) != credentialDigestBytes || dig != strings.ToLower(dig) {
 			lst.Add(digestPath, "a SHA-256 digest of 64 lower-case hexadecimal digits is expected")
 			continue
 		}
@@ -282,7 +282,8 @@
 	return visit(start)
 }
 
-// ValidateAddress checks an IP address with port, as processes are reached by IP number.
+// ValidateAddress checks that an address is an IP address with a port. Host names are not allowed, because
+// processes are reached by IP address.
 func ValidateAddress(address string) error {
 	host, port, err := net.SplitHostPort(address)
 	if err != nil || port == "0" {
