--- a/papayacroft/admin.go
+++ b/papayacroft/admin.go
@@ -18,7 +18,7 @@
 	maxAdminReplyBytes = 64 << 20
 )
 
-// adminClient calls the operators' interface of one daemon.
+// adminClient calls the admin interface of one daemon.
 type adminClient struct {
 	address string
 }
@@ -35,12 +35,12 @@
 	return &reply, trace.Wrap(err)
 }
 
-func (adm adminClient) exchange(ctx context.Context, method, path string, ask, reply any) error {
+func (adm adminClient) exchange(ctx context.Context, method, path string, request, reply any) error {
 	ctx, cancel := context.WithTimeout(ctx, adminTimeout)
 	defer cancel()
 	var body io.Reader
-	if ask != nil {
-		data, err := json.Marshal(ask)
+	if request != nil {
+		data, err := json.Marshal(request)
 		if err != nil {
 			return trace.Wrap(err)
 		}
--- a/papayacroft/cluster.go
+++ b/papayacroft/cluster.go
@@ -11,10 +11,11 @@
 	"papayacroft/membership"
 )
 
-// parallelCalls bounds the daemons that the client asks at the same time.
+// parallelCalls is the maximum number of daemons that the client queries at the same time.
 const parallelCalls = 32
 
-// statusRow is what one daemon says of itself, or why it does not and what others know of it.
+// statusRow holds the status that one daemon returned, or the error. Member is its entry in the member list of
+// another daemon.
 type statusRow struct {
 	Name    string             `json:"name,omitempty"`
 	Address string             `json:"address,omitempty"`
@@ -23,7 +24,7 @@
 	Error   string             `json:"error,omitempty"`
 }
 
-// label names the VM for the operator.
+// label returns the name and address of the VM, as far as they are known.
 func (row *statusRow) label() string {
 	switch {
 	case row.Name == "":
@@ -35,20 +36,21 @@
 	}
 }
 
-// survey asks the given daemons, and all others that these know of, for their status.
+// survey queries the status of the given daemons, and then of all others that these know through gossip.
 func (opt *options) survey(ctx context.Context) []*statusRow {
 	rows := make([]*statusRow, 0, len(opt.daemons))
 	for _, address := range opt.daemons {
 		rows = append(rows, &statusRow{Address: address})
 	}
-	ask(ctx, rows)
+	queryStatus(ctx, rows)
 	rows = withMembers(rows)
-	ask(ctx, rows)
+	queryStatus(ctx, rows)
 	sort.SliceStable(rows, func(i, j int) bool { return rows[i].Name < rows[j].Name })
 	return rows
 }
 
-// refresh asks the VMs again that have not confirmed; while a listed VM has no known address, it surveys all.
+// refresh queries again the VMs that have not confirmed. If the address of any VM is unknown, it repeats the survey
+// instead, because a daemon may have learnt that address in the meantime.
 func (opt *options) refresh(ctx context.Context, rows []*statusRow, confirmed map[string]bool) []*statusRow {
 	for _, row := range rows {
 		if row.Address == "" {
@@ -58,12 +60,12 @@
 			row.Status, row.Error = nil, ""
 		}
 	}
-	ask(ctx, rows)
+	queryStatus(ctx, rows)
 	return rows
 }
 
-// ask fills in the status of rows that have an address and no status yet.
-func ask(ctx context.Context, rows []*statusRow) {
+// queryStatus queries the status of all rows that have an address and neither a status nor an error yet.
+func queryStatus(ctx context.Context, rows []*statusRow) {
 	var grp errgroup.Group
 	grp.SetLimit(parallelCalls)
 	for _, row := range rows {
@@ -83,10 +85,11 @@
 	_ = grp.Wait()
 }
 
-// unreadList stands for the VMs that the platform's list may name while no daemon that answered has read it.
-const unreadList = "the platform's VM list"
+// unreadVMList is the name of a row that is added if no daemon that answered has read the platform's VM list yet.
+// The row stands for the VMs that the list may contain.
+const unreadVMList = "the platform's VM list"
 
-// withMembers adds the daemons and listed VMs that the answers name.
+// withMembers adds rows for the daemons and the VMs of the platform's list that are named in the answers.
 func withMembers(rows []*statusRow) []*statusRow {
 	byName, byAddress := map[string]*statusRow{}, map[string]*statusRow{}
 	for _, row := range rows {
@@ -121,7 +124,8 @@
 	return rows
 }
 
-// listedRows returns rows for what the platform's list names and no answer covers.
+// listedRows returns rows for the live VMs of the platform's list that have no known daemon,
+// or a row for the list itself if no daemon that answered has read it.
 func listedRows(answers []*statusRow) []*statusRow {
 	var rows []*statusRow
 	answered, listRead := false, false
@@ -135,7 +139,7 @@
 		}
 	}
 	if answered && !listRead {
-		rows = append(rows, &statusRow{Name: unreadList, Error: "no daemon that answered has read it, so it may name other VMs"})
+		rows = append(rows, &statusRow{Name: unreadVMList, Error: "no daemon that answered has read it, so it may name other VMs"})
 	}
 	return rows
 }
--- a/papayacroft/cmd_check.go
+++ b/papayacroft/cmd_check.go
@@ -12,7 +12,7 @@
 	"papayacroft/settings"
 )
 
-// files are the operators' files that a command reads.
+// files holds the paths of the operators' files that a command reads.
 type files struct {
 	inventory string
 	rules     string
@@ -24,7 +24,7 @@
 	cmd.Flags().StringVar(&fls.rules, "rules", "rules.yaml", "rules `file`")
 }
 
-// load reads and checks the inventory and rules.
+// load reads and validates the inventory and rules.
 func (fls *files) load() (*inventory.Configuration, finding.List, error) {
 	inv, err := os.ReadFile(fls.inventory)
 	if err != nil {
--- a/papayacroft/cmd_check_test.go
+++ b/papayacroft/cmd_check_test.go
@@ -54,7 +54,8 @@
 	return out.String(), err
 }
 
-// corruptions returns the text with one field changed, for each field and each kind of damage.
+// corruptions returns variants of a YAML text by their description. In each variant one key is renamed, or one value
+// is replaced by an invalid text or by null.
 func corruptions(t *testing.T, text string) map[string]string {
 	t.Helper()
 	var root yaml.Node
@@ -93,7 +94,7 @@
 
 var placePattern = regexp.MustCompile(`^.+\.yaml:\d+:\d+: `)
 
-// Guards against a damaged field that passes the check or is reported without its place.
+// Guards against a corrupted field that passes the check, or that is reported without file, line and column.
 func TestCheckFindsEveryCorruptedField(t *testing.T) {
 	t.Chdir("..")
 	for _, name := range []string{"kowhai", "hooghly"} {
@@ -111,7 +112,7 @@
 	}
 }
 
-// wantFindings expects the exit code for findings and a place in each line.
+// wantFindings expects the exit code for findings, and file, line and column at the start of each line of output.
 func wantFindings(t *testing.T, damage, out string, err error) {
 	t.Helper()
 	var ext *exitError
@@ -125,7 +126,7 @@
 	}
 }
 
-// Guards against findings that don't say where they are, and against panics on odd files.
+// Guards against findings without a location or a clear cause, and against panics on malformed files.
 func TestCheckReportsPlaceAndCause(t *testing.T) {
 	t.Chdir("..")
 	exa := readExample(t, "kowhai")
--- a/papayacroft/cmd_explain.go
+++ b/papayacroft/cmd_explain.go
@@ -12,26 +12,26 @@
 )
 
 func newCmdExplain(opt *options) *cobra.Command {
-	var ask daemon.ExplainRequest
+	var req daemon.ExplainRequest
 	cmd := &cobra.Command{
 		Use:   "explain",
 		Short: "Show which decision a request would get now, and why",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			if (ask.Model == "") == (ask.Pool == "") {
+			if (req.Model == "") == (req.Pool == "") {
 				return trace.BadParameter("either --model or --pool is required")
 			}
 			var dec routing.Decision
-			if err := (adminClient{opt.daemons[0]}).exchange(cmd.Context(), http.MethodPost, "/admin/explain", ask, &dec); err != nil {
+			if err := (adminClient{opt.daemons[0]}).exchange(cmd.Context(), http.MethodPost, "/admin/explain", req, &dec); err != nil {
 				return err
 			}
 			return opt.print(cmd.OutOrStdout(), dec, func(wri io.Writer) { printDecision(wri, dec) })
 		},
 	}
-	cmd.Flags().StringVar(&ask.Team, "team", "", "calling team as `organisation/team`")
-	cmd.Flags().StringVar(&ask.Model, "model", "", "model of a generation")
-	cmd.Flags().StringVar(&ask.Pool, "pool", "", "pool of a service call")
-	cmd.Flags().StringVar(&ask.Class, "class", "", "class of the request")
+	cmd.Flags().StringVar(&req.Team, "team", "", "calling team as `organisation/team`")
+	cmd.Flags().StringVar(&req.Model, "model", "", "model of a generation")
+	cmd.Flags().StringVar(&req.Pool, "pool", "", "pool of a service call")
+	cmd.Flags().StringVar(&req.Class, "class", "", "class of the request")
 	return cmd
 }
 
--- a/papayacroft/cmd_publish.go
+++ b/papayacroft/cmd_publish.go
@@ -17,12 +17,13 @@
 )
 
 const (
-	// inForceTimeout is the time within which an accepted version must be in force everywhere.
+	// inForceTimeout is the time within which an accepted version must be in force on every VM.
 	inForceTimeout = 4 * time.Second
-	// unknownTimeout is given to a publish that may not be on the log.
-	unknownTimeout = 500 * time.Millisecond
-	statusInterval = 50 * time.Millisecond
-	appendTimeout  = 2 * time.Second
+	// unconfirmedTimeout replaces inForceTimeout if the log did not confirm the append, so that an outage of the log
+	// is reported soon.
+	unconfirmedTimeout = 500 * time.Millisecond
+	statusInterval     = 50 * time.Millisecond
+	appendTimeout      = 2 * time.Second
 )
 
 // publishReport is the result of a publish.
@@ -30,7 +31,7 @@
 	PublishID string                `json:"publishId"`
 	Changes   int                   `json:"changes"`
 	Outcome   configuration.Outcome `json:"outcome"`
-	// InForce and Missing hold the VMs that do and don't report the version.
+	// InForce and Missing list the VMs that do and don't report the version as in force.
 	InForce []string `json:"inForce"`
 	Missing []string `json:"missing"`
 	Seconds float64  `json:"seconds"`
@@ -93,11 +94,11 @@
 	started := time.Now()
 	result := pub.append(ctx, record, base.Offset)
 	if result.notSent {
-		return trace.Wrap(result.err, "nothing was published, because the log did not take it")
+		return trace.Wrap(result.err, "nothing was published, because the log did not accept it")
 	}
 	timeout := inForceTimeout
 	if result.err != nil {
-		timeout = unknownTimeout
+		timeout = unconfirmedTimeout
 	}
 	pub.wait(ctx, rep, timeout)
 	rep.Seconds = time.Since(started).Seconds()
@@ -119,7 +120,7 @@
 		}
 	}
 	if newest.Number < 0 {
-		return newest, trace.Wrap(last, "nothing was published, because no daemon tells the version in force")
+		return newest, trace.Wrap(last, "nothing was published, because no daemon reports the version in force")
 	}
 	if newest.Configuration == nil {
 		newest.Configuration = &inventory.Configuration{}
@@ -127,8 +128,8 @@
 	return newest, nil
 }
 
-// append puts the record on the log.
-// After a lost answer it reads the log for the publish before it appends once more under the same id; a snapshot is not repeated.
+// append appends the record to the log. If the answer of the log is lost, it searches the log for the publish, and
+// if the publish is not there, appends it once more with the same ID. A snapshot is not appended again.
 func (pub *publisher) append(ctx context.Context, rec *configuration.Record, from int64) appendResult {
 	body, err := rec.Serialize()
 	if err != nil {
@@ -155,7 +156,8 @@
 	return appendResult{err: appendOnce(ctx, log, body)}
 }
 
-// appendResult tells whether a publish is on the log; with an error that isn't notSent it may be.
+// appendResult is the result of an append: without an error the record is on the log. With an error it is certainly
+// not on the log if notSent is true; otherwise it may be.
 type appendResult struct {
 	err     error
 	notSent bool
@@ -168,7 +170,7 @@
 	return trace.Wrap(err)
 }
 
-// findPublish looks for a publish on the log from an offset to the end.
+// findPublish reports whether a publish is on the log, searching from an offset to the end.
 func findPublish(ctx context.Context, log *provider.HTTPLog, from int64, publishID string) (bool, error) {
 	ctx, cancel := context.WithTimeout(ctx, appendTimeout)
 	defer cancel()
@@ -190,15 +192,14 @@
 	}
 }
 
-// wait polls the daemons until all know the outcome and have the version in force.
-// A publish that may not be on the log is given less time, so that the operator hears of an outage soon.
+// wait polls the daemons until the version is in force on every VM, the publish is rejected or the time-out is over.
 func (pub *publisher) wait(ctx context.Context, rep *publishReport, timeout time.Duration) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	confirmed := map[string]bool{}
 	rows := pub.options.survey(ctx)
 	for {
-		rep.take(rows, confirmed)
+		rep.update(rows, confirmed)
 		decided := rep.Outcome.Verdict != "" && rep.Outcome.Verdict != configuration.VerdictAccepted
 		if len(rep.Missing) == 0 || decided {
 			return
@@ -210,14 +211,14 @@
 		}
 		rows = pub.options.refresh(ctx, rows, confirmed)
 		if ctx.Err() != nil {
-			// The answers that the time limit cut off say nothing about the VMs.
+			// Queries that the time-out cut off look like failures of the VMs, so this round is not evaluated.
 			return
 		}
 	}
 }
 
-// take notes the outcome and which VMs have the version in force.
-func (rep *publishReport) take(rows []*statusRow, confirmed map[string]bool) {
+// update records the outcome and which VMs have the version in force. A VM once confirmed stays confirmed.
+func (rep *publishReport) update(rows []*statusRow, confirmed map[string]bool) {
 	for _, row := range rows {
 		if row.Status == nil {
 			continue
@@ -247,15 +248,15 @@
 	}
 	switch {
 	case rep.Outcome.Verdict == "" && appendErr != nil:
-		return &exitError{exitUnknown, trace.ConnectionProblem(appendErr, "the log did not confirm publish %s, so its outcome is unknown; look for it with history before publishing again", rep.PublishID)}
+		return &exitError{exitOutcomeUnknown, trace.ConnectionProblem(appendErr, "the log did not confirm publish %s, so its outcome is unknown; look for it with history before publishing again", rep.PublishID)}
 	case rep.Outcome.Verdict == "":
-		return &exitError{exitUnknown, trace.ConnectionProblem(nil, "publish %s is on the log, but no daemon tells its outcome", rep.PublishID)}
+		return &exitError{exitOutcomeUnknown, trace.ConnectionProblem(nil, "publish %s is on the log, but no daemon reports its outcome", rep.PublishID)}
 	case rep.Outcome.Verdict == configuration.VerdictSuperseded:
 		return &exitError{exitFindings, trace.CompareFailed("another publish came first; check the version in force and publish again")}
 	case rep.Outcome.Verdict == configuration.VerdictInvalid:
 		return &exitError{exitFindings, trace.Wrap(rep.Outcome.Findings.Err())}
 	case len(rep.Missing) > 0:
-		return &exitError{exitNotEveryone, trace.LimitExceeded("version %d is accepted, but not in force within %s on %s", rep.Outcome.Version, inForceTimeout, strings.Join(rep.Missing, ", "))}
+		return &exitError{exitIncomplete, trace.LimitExceeded("version %d is accepted, but not in force within %s on %s", rep.Outcome.Version, inForceTimeout, strings.Join(rep.Missing, ", "))}
 	}
 	return nil
 }
--- a/papayacroft/cmd_publish_test.go
+++ b/papayacroft/cmd_publish_test.go
@@ -12,11 +12,12 @@
 	"papayacroft/daemon"
 )
 
-// Guards against a last question that the time limit cuts off and that takes back what the VMs have confirmed.
-func TestWaitKeepsWhatWasConfirmed(t *testing.T) {
-	asked := 0
+// Guards against a last round of queries that the time-out cuts off: its failed queries would list VMs as missing
+// that have confirmed the version before.
+func TestWaitKeepsConfirmedVMsAfterTimeout(t *testing.T) {
+	requests := 0
 	web := httptest.NewServer(http.HandlerFunc(func(wri http.ResponseWriter, req *http.Request) {
-		if asked++; asked > 2 {
+		if requests++; requests > 2 {
 			<-req.Context().Done()
 			return
 		}
@@ -37,7 +38,8 @@
 	}
 }
 
-// Guards against a publish that calls a version in force everywhere before any daemon knows which VMs there are.
+// Guards against a publish that reports a version as in force on every VM before any daemon has read the platform's
+// VM list, when there may be VMs that no daemon knows.
 func TestWaitNeedsTheVMList(t *testing.T) {
 	web := httptest.NewServer(http.HandlerFunc(func(wri http.ResponseWriter, _ *http.Request) {
 		_ = json.NewEncoder(wri).Encode(daemon.Status{
@@ -49,7 +51,7 @@
 	opt := &options{daemons: []string{strings.TrimPrefix(web.URL, "http://")}}
 	rep := &publishReport{PublishID: "one"}
 	(&publisher{options: opt}).wait(t.Context(), rep, 300*time.Millisecond)
-	if got, want := strings.Join(rep.Missing, " "), unreadList; got != want {
+	if got, want := strings.Join(rep.Missing, " "), unreadVMList; got != want {
 		t.Errorf("got missing %q; want %q", got, want)
 	}
 }
--- a/papayacroft/cmd_status.go
+++ b/papayacroft/cmd_status.go
@@ -30,7 +30,7 @@
 				}
 			})
 			if err == nil && unreachable > 0 {
-				err = &exitError{exitNotEveryone, trace.ConnectionProblem(nil, "%d of %d VMs do not answer", unreachable, len(rows))}
+				err = &exitError{exitIncomplete, trace.ConnectionProblem(nil, "%d of %d VMs do not answer", unreachable, len(rows))}
 			}
 			return err
 		},
@@ -41,7 +41,7 @@
 	if row.Status == nil {
 		printf(wri, "%s unreachable: %s", row.label(), row.Error)
 		if row.Member != nil {
-			printf(wri, "; peers say %s, version %d", row.Member.State, row.Member.Version)
+			printf(wri, "; peers report %s, version %d", row.Member.State, row.Member.Version)
 		}
 		printf(wri, "\n")
 		return
--- a/papayacroft/main.go
+++ b/papayacroft/main.go
@@ -15,13 +15,13 @@
 
 // Exit codes of the client.
 const (
-	exitFailure     = 1
-	exitFindings    = 2
-	exitNotEveryone = 3
-	exitUnknown     = 4
+	exitFailure        = 1
+	exitFindings       = 2
+	exitIncomplete     = 3
+	exitOutcomeUnknown = 4
 )
 
-// exitError ends the client with a code of its own.
+// exitError is an error for which the client exits with the given code.
 type exitError struct {
 	code int
 	err  error
--- a/papayacroft/print.go
+++ b/papayacroft/print.go
@@ -8,7 +8,7 @@
 	"github.com/gravitational/trace"
 )
 
-// print writes a value as JSON, or as text by the given function.
+// print writes a value as JSON, or calls text to write it, depending on the flag --output.
 func (opt *options) print(wri io.Writer, value any, text func(wri io.Writer)) error {
 	if opt.output == "json" {
 		enc := json.NewEncoder(wri)
