--- a/papayacroftd/cmd_gateway.go
+++ b/papayacroftd/cmd_gateway.go
@@ -42,9 +42,9 @@
 	}
 	out := logline.NewWriter(os.Stdout)
 	logging, stopLogging := context.WithCancel(context.Background())
-	var written sync.WaitGroup
-	written.Go(func() { out.Run(logging) })
-	defer written.Wait()
+	var logWriter sync.WaitGroup
+	logWriter.Go(func() { out.Run(logging) })
+	defer logWriter.Wait()
 	defer stopLogging()
 	logger.SetOutput(out)
 	logger.SetFormatter(logline.NewFormatter(set.Name))
@@ -62,7 +62,7 @@
 	return trace.Wrap(dmn.Run(drain))
 }
 
-// reload reads the settings again; a file with findings changes nothing.
+// reload applies the settings file again; if it can't be read or has findings, the present settings remain in use.
 func reload(file string, dmn *gateway.Daemon) {
 	set, lst, err := settings.LoadGateway(file)
 	if err == nil {
--- a/papayacroftd/main.go
+++ b/papayacroftd/main.go
@@ -73,7 +73,7 @@
 	return logger, nil
 }
 
-// signalContexts returns a context that the first signal ends and one that the second signal ends.
+// signalContexts returns two contexts: the first SIGTERM or SIGINT cancels drain, and the second one cancels kill.
 func signalContexts(logger logrus.FieldLogger) (drain, kill context.Context) {
 	drain, startDrain := context.WithCancel(context.Background())
 	kill, stop := context.WithCancel(context.Background())
