--- a/papayacroft-standin/main.go
+++ b/papayacroft-standin/main.go
@@ -34,7 +34,7 @@
 	return cmd
 }
 
-// serve answers on a loopback address until the process ends.
+// serve serves HTTP on a loopback address until the process ends.
 func serve(address string, hdl http.Handler) error {
 	host, _, err := net.SplitHostPort(address)
 	if err != nil {
