--- a/lease/keeper.go
+++ b/lease/keeper.go
@@ -11,16 +11,16 @@
 )
 
 const (
-	// Watchers is the number of daemons in a pool's order that read its renewals.
+	// Watchers is the number of daemons, the first in a pool's ranking, that read the pool's renewals.
 	Watchers = 4
-	// staleSlack is the time beyond the refresh interval after which a lease that was not refreshed
-	// makes twice as many daemons read the renewals.
+	// staleSlack is added to the refresh interval before a missing refresh of a lease doubles the number
+	// of daemons that read the pool's renewals.
 	staleSlack = time.Minute
-	// maxWiden bounds the doubling; 4 times 2 to the 7th exceeds 400 daemons.
+	// maxWiden is the greatest number of doublings; 4 times 2 to the 7th exceeds 400 daemons.
 	maxWiden = 7
 )
 
-// Log is the part of the platform's log that leases need.
+// Log is the part of the platform's log that leases use.
 type Log interface {
 	Append(ctx context.Context, stream string, body []byte) (int64, error)
 	Read(ctx context.Context, stream string, from int64, wait time.Duration) (provider.Batch, error)
@@ -34,23 +34,23 @@
 
 	mutex sync.Mutex
 	table *Table
-	// since is the start of the reads of leases that were not interrupted for as long as a lease lasts.
+	// since is the end of the first read of the leases, or of the first one after reads failed for a refresh interval or more.
 	since time.Time
-	// vacant holds the time at which a pool was first seen without a lease.
+	// vacant holds the time at which this daemon first saw a pool without a lease.
 	vacant map[string]time.Time
 	// watches holds the pools whose renewals this daemon reads.
 	watches map[string]*watch
-	// renewals holds the last renewal of each pool that this daemon holds.
+	// renewals holds the last renewal that this daemon appended for each pool.
 	renewals map[string]ownRenewal
 }
 
-// ownRenewal is the last renewal that this daemon has appended.
+// ownRenewal is the time and offset of a renewal that this daemon appended.
 type ownRenewal struct {
 	at     time.Time
 	offset int64
 }
 
-// NewKeeper returns a keeper for one daemon incarnation, on a log that keeps records for a time.
+// NewKeeper returns a keeper for one daemon incarnation, on a log with the given retention.
 func NewKeeper(log Log, holder string, retention time.Duration) *Keeper {
 	return &Keeper{
 		Log: log, Holder: holder, Now: time.Now, table: NewTable(retention),
@@ -58,7 +58,7 @@
 	}
 }
 
-// Follow reads the leases once, waiting up to the given time for a record.
+// Follow reads the lease stream once, waiting up to the given time for a record.
 func (kep *Keeper) Follow(ctx context.Context, wait time.Duration) error {
 	kep.mutex.Lock()
 	next := kep.table.Next
@@ -78,7 +78,7 @@
 	return nil
 }
 
-// Watch chooses the pools whose renewals this daemon reads.
+// Watch sets the pools whose renewals this daemon reads.
 func (kep *Keeper) Watch(pools []string) {
 	kep.mutex.Lock()
 	defer kep.mutex.Unlock()
@@ -94,7 +94,7 @@
 	}
 }
 
-// FollowRenewals reads the renewals of one pool once, if it is watched.
+// FollowRenewals reads the renewals of one pool once, if this daemon watches the pool.
 func (kep *Keeper) FollowRenewals(ctx context.Context, pool string) error {
 	kep.mutex.Lock()
 	wat, ok := kep.watches[pool]
@@ -115,7 +115,8 @@
 	return nil
 }
 
-// Take appends a record based on the pool's last one; only reading the stream tells whether it was accepted.
+// Take appends a record based on the pool's last accepted one. Whether the new record was accepted shows only
+// when this daemon reads it back from the stream.
 func (kep *Keeper) Take(ctx context.Context, pool string) error {
 	kep.mutex.Lock()
 	les, _ := kep.table.Lease(kep.Now(), pool)
@@ -142,7 +143,7 @@
 	return ok && les.Holder == kep.Holder && now.Sub(kep.renewals[pool].at) >= RenewInterval
 }
 
-// Renew tells the pool's watchers that this holder is there.
+// Renew appends a renewal, which shows the pool's watchers that this holder is alive.
 func (kep *Keeper) Renew(ctx context.Context, pool string) error {
 	kep.mutex.Lock()
 	now := kep.Now()
@@ -163,7 +164,8 @@
 }
 
 // Due reports whether this holder should refresh the pool's lease or take a vacant or expired one.
-// A grace keeps daemons that are not the pool's first choice from racing for it.
+// Daemons that are not first in the pool's ranking pass a grace period, so that they don't race for the lease.
+// Nothing is due while the last read of the lease stream is older than Duration.
 func (kep *Keeper) Due(pool string, grace time.Duration) bool {
 	kep.mutex.Lock()
 	defer kep.mutex.Unlock()
@@ -190,9 +192,10 @@
 	}
 }
 
-// ShouldWatch reports whether a daemon of a rank in the pool's order reads its renewals. The first four do.
-// If all of them live and yet none keeps the lease, as when they are cut off from the log alone, the holder
-// refreshes nothing any more, and twice as many daemons watch after each refresh interval that passes so.
+// ShouldWatch reports whether a daemon of the given rank in the pool's ranking reads the pool's renewals.
+// Normally the first four do. If all of them are alive but none can keep the lease, for example because only they
+// are cut off from the log, nobody refreshes the lease any more. Then the number of watchers doubles with each
+// refresh interval that passes without a refresh.
 func (kep *Keeper) ShouldWatch(pool string, rank int) bool {
 	kep.mutex.Lock()
 	defer kep.mutex.Unlock()
@@ -212,7 +215,7 @@
 	return rank < Watchers<<min(widen, maxWiden)
 }
 
-// HoldsAny reports whether this holder is that of any pool, by what it last read.
+// HoldsAny reports whether this holder has the lease of any of the pools, according to its last read.
 func (kep *Keeper) HoldsAny(pools []string) bool {
 	kep.mutex.Lock()
 	defer kep.mutex.Unlock()
@@ -231,7 +234,7 @@
 	return kep.table.Holds(kep.Now(), pool, kep.Holder)
 }
 
-// MayOrder returns the token with which this holder may order an engine now.
+// MayOrder returns the token for an order to an engine, and whether this holder may send one now.
 func (kep *Keeper) MayOrder(pool string, checksFence bool) (int64, bool) {
 	kep.mutex.Lock()
 	defer kep.mutex.Unlock()
--- a/lease/keeper_test.go
+++ b/lease/keeper_test.go
@@ -11,10 +11,10 @@
 	"papayacroft/provider"
 )
 
-// retention is what the platform's log keeps unless a test says otherwise.
+// retention is the time for which the log keeps records in tests that set no other.
 const retention = 24 * time.Hour
 
-// memoryLog is a log that may lose the answer of an append or be down.
+// memoryLog is a log in memory that can be down, or store appended records and fail to answer.
 type memoryLog struct {
 	streams    map[string][]provider.Record
 	loseAnswer bool
@@ -66,7 +66,10 @@
 	}
 }
 
-// Guards against a holder that orders in a log outage, a lost answer that loses the lease, and a successor that orders too early.
+// Guards against two daemons that order the same engines at a takeover. That happens if a holder that cannot read the
+// log goes on with orders after its lease ran out, or if its successor orders engines that don't check tokens before
+// the holder's last order has taken effect. Guards as well against a holder that loses its lease because the answer to
+// its append was lost.
 func TestTakeover(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		mlg := &memoryLog{loseAnswer: true}
@@ -91,7 +94,7 @@
 		mlg.down = false
 		follow(t, two)
 		if !two.Due("llm", 0) || two.Due("llm", 2*time.Second) {
-			t.Error("got no lease due at 10 s, or one due in the grace; want it due without grace alone")
+			t.Error("got no lease due at 10 s, or one due in the grace period; want it due only without a grace period")
 		}
 		_ = two.Take(t.Context(), "llm")
 		follow(t, one, two)
@@ -107,17 +110,18 @@
 	})
 }
 
-// Guards against one daemon that takes the leases of all pools because it is asked first.
+// Guards against one daemon that takes the leases of all pools because it checks them before the daemons that are
+// first in the pools' rankings do.
 func TestVacantPoolWaitsForGrace(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		kep := NewKeeper(&memoryLog{}, "one", retention)
 		follow(t, kep)
 		if kep.Due("llm", 2*time.Second) {
-			t.Error("got a vacant pool due at once; want it left to the daemon of the first rank")
+			t.Error("got a vacant pool due at once; want a grace period for the daemon of the first rank")
 		}
 		time.Sleep(2 * time.Second)
 		if !kep.Due("llm", 2*time.Second) {
-			t.Error("got no lease due after the grace; want one")
+			t.Error("got no lease due after the grace period; want one")
 		}
 	})
 }
--- a/lease/machine_test.go
+++ b/lease/machine_test.go
@@ -12,21 +12,23 @@
 	"papayacroft/provider"
 )
 
-// machineSeeds is the number of runs that compare leases with and without the margin.
+// machineSeeds is the number of runs with the margin, and of runs without it, in TestMarginIsNeeded.
 var machineSeeds = flag.Uint64("machine-seeds", 100, "runs of the machine with and without the margin")
 
-// firstSeed starts the runs shortly before seed 448, the first of all without the margin to show an overlap.
+// firstSeed is the seed of the first run. It is a little less than 448, the first seed of all that shows an overlap
+// without the margin.
 const firstSeed = 400
 
 const (
-	// machineRefresh and machineRetention keep the proportions of the product, so that runs see records expire.
+	// machineRefresh and machineRetention are shorter than in production, so that records expire during a run,
+	// but have the same ratio.
 	machineRefresh   = 10 * time.Second
 	machineRetention = refreshesPerRetention * machineRefresh
 )
 
-// party is one daemon with the read and the order that it has under way.
+// party is one daemon with its read and its order in flight.
 type party struct {
-	// seenToken is the greatest token that seenTable has shown.
+	// seenToken is the last token of the lease in seenTable, which is the party's table at the last check.
 	seenTable *Table
 	seenToken int64
 
@@ -43,18 +45,19 @@
 	cutOff bool
 }
 
-// machine runs two parties that order one engine, on a log that each may be cut off from and lost answers.
+// machine simulates two parties that order one engine. Each may be cut off from the log, and all answers to appends are lost.
 type machine struct {
 	now         time.Time
 	records     []provider.Record
 	checksFence bool
 	parties     [2]*party
 	// highest is the greatest token whose order took effect.
-	highest          int64
+	highest int64
+	// overlaps counts the orders that took effect after one with a greater token.
 	orders, overlaps int
 	refused          int
 	restarts         int
-	// compared counts the comparisons of a party that started after records expired with one that read them.
+	// compared counts the comparisons between a party that started after records expired and one that read those records.
 	compared int
 }
 
@@ -72,14 +75,14 @@
 	return tab
 }
 
-// restart replaces a party by one that has read nothing; an order under way stays under way.
+// restart replaces a party by one that has read nothing; an order in flight stays in flight.
 func (mac *machine) restart(pty *party) {
 	mac.restarts++
 	pty.name = fmt.Sprintf("%s-%d", pty.name[:len("daemon-0")], mac.restarts)
 	pty.table, pty.reading = newMachineTable(pty.table.Margin), false
 }
 
-// step lets one thing happen; choose returns a number below its argument.
+// step simulates one event; choose returns a number below its argument.
 func (mac *machine) step(choose func(n int) int) {
 	mac.now = mac.now.Add(time.Duration(choose(4)) * 50 * time.Millisecond)
 	if choose(300) == 0 {
@@ -89,7 +92,7 @@
 	pty := mac.parties[choose(2)]
 	if pty.ordering && mac.now.Sub(pty.checkedAt) > 2*Margin-500*time.Millisecond {
 		// An order takes effect within twice the margin, or not at all.
-		mac.effect(pty)
+		mac.applyOrder(pty)
 	}
 	if mac.now.Before(pty.pausedUntil) {
 		return
@@ -97,7 +100,7 @@
 	mac.act(pty, choose)
 }
 
-// act lets one party read, take the lease, check, order or pause.
+// act lets one party start or complete a read, take the lease, check and send an order, complete one, restart or pause.
 func (mac *machine) act(pty *party, choose func(n int) int) {
 	switch choose(14) {
 	case 0, 10, 11:
@@ -115,7 +118,7 @@
 		mac.check(pty)
 	case 6:
 		if pty.ordering && choose(8) == 0 {
-			mac.effect(pty)
+			mac.applyOrder(pty)
 		}
 	case 7:
 		if choose(60) == 1 {
@@ -137,8 +140,9 @@
 	return provider.Batch{First: first, Next: next, Records: mac.records[min(max(from, first), next)-1:]}
 }
 
-// take also appends while a lease runs, as a daemon does that suspects a holder which is cut off.
-// The answer is not looked at, as if it were always lost.
+// take appends a lease record if the lease is vacant or needs a refresh. Sometimes it does so while another party
+// holds the lease, like a daemon that suspects that the holder is cut off. The party ignores the answer to the append,
+// as if it were lost.
 func (mac *machine) take(pty *party, choose func(n int) int) {
 	les, ok := pty.table.Lease(mac.now, "llm")
 	suspects := ok && les.Holder != pty.name && (mac.other(pty).cutOff && choose(2) == 0 || choose(40) == 0)
@@ -167,7 +171,7 @@
 	}
 }
 
-func (mac *machine) effect(pty *party) {
+func (mac *machine) applyOrder(pty *party) {
 	pty.ordering = false
 	late := mac.now.Sub(pty.checkedAt) >= 2*Margin
 	switch {
@@ -183,7 +187,8 @@
 	}
 }
 
-// disagreement says how parties differ that have read the same stream, whether they read all of it or started late.
+// disagreement describes how the parties' leases differ after both have read the stream to its end, whether they read
+// all of it or started after records expired.
 func (mac *machine) disagreement() string {
 	one, two := mac.parties[0].table, mac.parties[1].table
 	end := int64(len(mac.records)) + 1
@@ -193,7 +198,7 @@
 	first, ok := one.Lease(mac.now, "llm")
 	second, same := two.Lease(mac.now, "llm")
 	if !ok && !one.Vacant(mac.now, "llm") || !same && !two.Vacant(mac.now, "llm") {
-		// One of them has started late and knows that it doesn't know yet.
+		// One of them started after records expired and has not read enough yet to know the lease.
 		return ""
 	}
 	if one.gap != two.gap && ok {
@@ -205,8 +210,8 @@
 	return ""
 }
 
-// shrunk describes a token that is below an earlier one of the same table, if there is one.
-func (pty *party) shrunk() string {
+// tokenDecrease describes a lease token that is less than an earlier one of the same table, if there is one.
+func (pty *party) tokenDecrease() string {
 	if pty.seenTable != pty.table {
 		pty.seenTable, pty.seenToken = pty.table, None
 	}
@@ -221,8 +226,8 @@
 	return ""
 }
 
-// Guards against two daemons that order an engine without token check in the same period, against daemons that disagree
-// on the lease, and against tokens that shrink.
+// Guards against an order that takes effect after one of a later holder, which an engine without token check cannot
+// refuse; against daemons that derive different leases from the same records; and against tokens that decrease.
 func TestNoTwoHoldersOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		mac := newMachine(Margin, rapid.Bool().Draw(t, "checksFence"))
@@ -233,7 +238,7 @@
 				t.Fatal(problem)
 			}
 			for _, pty := range mac.parties {
-				if problem := pty.shrunk(); problem != "" {
+				if problem := pty.tokenDecrease(); problem != "" {
 					t.Fatal(problem)
 				}
 			}
@@ -244,7 +249,8 @@
 	})
 }
 
-// Guards against a margin that changes nothing: without it, orders of two holders must overlap.
+// Guards against a simulation that cannot show what the margin prevents: without the margin, orders of two holders
+// must overlap, and with it they must not.
 func TestMarginIsNeeded(t *testing.T) {
 	for _, tst := range []struct {
 		margin  time.Duration
@@ -274,7 +280,8 @@
 	}
 }
 
-// Guards against a lease that is taken by a daemon that did not know of the last one.
+// Guards against a daemon that takes a lease with a record based on an outdated one, because another record was stored
+// between its read and its append.
 func TestFirstInOffsetOrderWins(t *testing.T) {
 	tab := NewTable(retention)
 	var bat provider.Batch
@@ -299,7 +306,7 @@
 	}
 }
 
-// Measures reading the stream's records of 8 pools.
+// Measures how fast a table applies the lease records of 8 pools.
 func BenchmarkApply(b *testing.B) {
 	now := time.Unix(1000, 0)
 	tab := NewTable(retention)
--- a/lease/record.go
+++ b/lease/record.go
@@ -1,4 +1,5 @@
-// Package lease lets one daemon at a time order the engines of a pool, by leases on the log with fencing tokens.
+// Package lease makes sure that only one daemon at a time sends orders to the engines of a pool. It uses leases that
+// are kept in the log and carry fencing tokens.
 package lease
 
 import (
@@ -8,17 +9,17 @@
 	"github.com/gravitational/trace"
 )
 
-// Stream is the log stream that holds the leases of all pools, which every daemon reads.
+// Stream is the log stream that holds the leases of all pools. Every daemon reads it.
 const Stream = "placement"
 
 // Record takes or refreshes the lease of one pool.
 type Record struct {
 	Pool string `json:"pool"`
-	// Holder is a daemon incarnation, which knows its own record by it when the answer to the append is lost.
+	// Holder is a daemon incarnation. A daemon recognises its own record by it if the answer to the append is lost.
 	Holder string `json:"holder"`
 	// BasedOn is the offset of the pool's last accepted record, or -1 if there is none.
 	BasedOn int64 `json:"basedOn"`
-	// Renewals is an offset of the pool's renewals from which a new reader needs no earlier one.
+	// Renewals is an offset in the pool's renewal stream; a new reader starts there and needs no earlier renewal.
 	Renewals int64 `json:"renewals,omitempty"`
 }
 
@@ -40,13 +41,13 @@
 	return data, trace.Wrap(err)
 }
 
-// Renewal tells that a holder is still there.
+// Renewal shows that a holder is still alive.
 type Renewal struct {
 	// Token is the offset of the holder's last lease record.
 	Token int64 `json:"token"`
 }
 
-// RenewalStream returns the log stream of a pool's renewals, which few daemons read.
+// RenewalStream returns the name of the log stream of a pool's renewals, which only the pool's watchers read.
 func RenewalStream(pool string) string {
 	return Stream + "-" + pool
 }
--- a/lease/watch.go
+++ b/lease/watch.go
@@ -8,13 +8,15 @@
 
 // watch follows the renewals of one pool.
 type watch struct {
+	// next is the offset at which the next read starts.
 	next int64
 	// readAt is the start of the last complete read.
 	readAt time.Time
 	// since is the end of the first read.
 	since time.Time
-	// token is the greatest one that was renewed, last read at renewedAt.
-	token     int64
+	// token is the greatest token with a renewal.
+	token int64
+	// renewedAt is the time at which this daemon read the last renewal of the token.
 	renewedAt time.Time
 }
 
@@ -22,7 +24,7 @@
 	return &watch{next: next, token: None}
 }
 
-// apply takes in a batch whose read began at start; now is the time at which it was complete.
+// apply applies a batch whose read began at start and was complete at now.
 func (wat *watch) apply(start, now time.Time, bat provider.Batch) {
 	if wat.since.IsZero() {
 		wat.since = now
@@ -42,19 +44,19 @@
 	wat.next = max(wat.next, bat.Next)
 }
 
-// expired reports whether the holder has given no sign for the time of a lease and a grace.
-// The time before this daemon watched the pool does not count.
+// expired reports whether the holder has appended no lease record and no renewal for Duration and the grace period.
+// The time before this daemon's first read of the renewals is not part of that period.
 func (wat *watch) expired(now time.Time, les Lease, grace time.Duration) bool {
 	if now.Sub(wat.readAt) >= Duration {
 		return false
 	}
-	sign := les.GrantedAt
-	if wat.since.After(sign) {
-		sign = wat.since
+	aliveAt := les.GrantedAt
+	if wat.since.After(aliveAt) {
+		aliveAt = wat.since
 	}
-	// A greater token than the lease's is that of a lease record that this daemon has not read yet.
-	if wat.token >= les.Tenure && wat.renewedAt.After(sign) {
-		sign = wat.renewedAt
+	// A renewal with a token greater than the lease's belongs to a lease record that this daemon has not read yet.
+	if wat.token >= les.Tenure && wat.renewedAt.After(aliveAt) {
+		aliveAt = wat.renewedAt
 	}
-	return now.Sub(sign) >= Duration+grace
+	return now.Sub(aliveAt) >= Duration+grace
 }
