--- a/placement/asked.go
+++ b/placement/asked.go
@@ -6,18 +6,20 @@
 	"papayacroft/inventory"
 )
 
-// Asked counts this daemon's requests per model, so that models without an engine show demand too.
+// Asked counts the requests that this daemon received per model. Models without an engine have no load report, so
+// these counts are the only sign of demand for them.
 type Asked struct {
 	mutex  sync.Mutex
 	counts map[string]int
 }
 
-// NewAsked returns counts of zero.
+// NewAsked returns a counter without requests.
 func NewAsked() *Asked {
 	return &Asked{counts: map[string]int{}}
 }
 
-// Count takes in a request unless no owner has approved the team, whose requests must move no engine.
+// Count counts a request for a model, if the team is approved for at least one endpoint of the model's pools.
+// Requests of other teams must not cause an engine to be moved.
 func (ask *Asked) Count(idx *inventory.Index, team inventory.TeamRef, model string) {
 	for _, pool := range idx.ModelPools(model) {
 		for _, edp := range idx.PoolEndpoints(pool) {
@@ -31,7 +33,7 @@
 	}
 }
 
-// Take returns the requests for a model since the last call.
+// Take returns the number of requests for a model since the last call, and resets it.
 func (ask *Asked) Take(model string) int {
 	ask.mutex.Lock()
 	defer ask.mutex.Unlock()
--- a/placement/demand.go
+++ b/placement/demand.go
@@ -5,21 +5,22 @@
 	"time"
 )
 
-// demandHalfLife is the time in which an observation loses half its weight; shorter peaks than this move no engine.
+// demandHalfLife is the time in which an observation loses half its weight, so that shorter peaks move no engine.
 const demandHalfLife = 30 * time.Second
 
-// Demand smooths the demand per model.
+// Demand holds an exponentially weighted moving average of the demand per model.
 type Demand struct {
 	values map[string]float64
 	at     time.Time
 }
 
-// NewDemand returns a demand without observations.
+// NewDemand returns a Demand without observations.
 func NewDemand() *Demand {
 	return &Demand{values: map[string]float64{}}
 }
 
-// Observe takes in the generations that run or wait per model.
+// Observe adds an observation: the number of generations per model that run or wait. The demand of models that are
+// not in it decays towards zero.
 func (dem *Demand) Observe(now time.Time, raw map[string]float64) {
 	weight := 1.0
 	if !dem.at.IsZero() {
--- a/placement/executor.go
+++ b/placement/executor.go
@@ -12,13 +12,15 @@
 )
 
 const (
-	// storePause is the time for which a pool asks for no permit after a refusal, so that other pools get theirs.
+	// storePause is the least time for which a pool requests no permit after the weight store refused one,
+	// so that other pools get permits.
 	storePause = time.Second
-	// orderTimeout is half the slack between the leases of two holders, so that an order takes effect in it.
+	// orderTimeout is half the time that the lease's margins leave between the last order of a holder and the first one
+	// of its successor, so that an order takes effect within that time.
 	orderTimeout = 2 * time.Second
 )
 
-// Fence gives the token to order with, if the lease is held at this moment.
+// Fence returns the fencing token for an order, and whether the lease allows an order at this moment.
 type Fence interface {
 	MayOrder(pool string, checksFence bool) (int64, bool)
 }
@@ -28,12 +30,12 @@
 	Order(ctx context.Context, tgt endpoint.Target, ord endpoint.Order) error
 }
 
-// Store grants permits to load weights.
+// Store grants permits to load weights from the weight store.
 type Store interface {
 	Acquire(ctx context.Context, model string, bytes int64) error
 }
 
-// Executor sends the orders of plans for one pool.
+// Executor sends the orders of one pool's plans to the engines.
 type Executor struct {
 	Pool        string
 	ChecksFence bool
@@ -46,10 +48,11 @@
 	pausedUntil time.Time
 }
 
-// Execute sends one move and reports whether the order was sent; the engine may have taken it even if there is an error.
+// Execute sends the order of one move and reports whether it was sent. After an error the engine may have accepted
+// the order nevertheless.
 func (exe *Executor) Execute(ctx context.Context, now time.Time, mov Move, address string, weightBytes int64) (bool, error) {
 	if now.Before(exe.pausedUntil) {
-		return false, trace.LimitExceeded("the weight store is given a pause until %s", exe.pausedUntil.Format(time.RFC3339))
+		return false, trace.LimitExceeded("no permit is requested from the weight store until %s, after a refusal", exe.pausedUntil.Format(time.RFC3339))
 	}
 	if _, ok := exe.Fence.MayOrder(exe.Pool, exe.ChecksFence); !ok {
 		return false, nil
@@ -57,16 +60,16 @@
 	if exe.Store != nil {
 		if err := exe.Store.Acquire(ctx, mov.To.Model, weightBytes); err != nil {
 			exe.pausedUntil = now.Add(storePause + rand.N(storePause))
-			exe.logger(mov).WithError(err).Info("placement waits for the weight store")
+			exe.logger(mov).WithError(err).Info("weight store granted no permit; placement order postponed")
 			return false, trace.Wrap(err)
 		}
 	}
 	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
-	// The permit may have taken long, so the lease is checked again right before the order.
+	// The wait for the permit may have been long, so the lease is checked again right before the order.
 	token, ok := exe.Fence.MayOrder(exe.Pool, exe.ChecksFence)
 	if !ok {
-		exe.logger(mov).Info("placement order dropped because the lease is not held any more")
+		exe.logger(mov).Info("placement order dropped: lease is no longer held")
 		return false, nil
 	}
 	err := exe.Orders.Order(ctx, endpoint.Target{Name: mov.Engine, Address: address}, endpoint.Order{
--- a/placement/executor_test.go
+++ b/placement/executor_test.go
@@ -13,12 +13,13 @@
 	"papayacroft/endpoint"
 )
 
-// gate answers the executor's questions from a script and keeps the orders.
+// gate stands in for the fence, the weight store and the engines of an executor, and records the orders.
 type gate struct {
-	held   []bool
-	full   bool
-	asked  int
-	orders []endpoint.Order
+	// held holds the answers of the next calls of MayOrder.
+	held           []bool
+	full           bool
+	permitRequests int
+	orders         []endpoint.Order
 }
 
 func (gat *gate) MayOrder(string, bool) (int64, bool) {
@@ -28,7 +29,7 @@
 }
 
 func (gat *gate) Acquire(context.Context, string, int64) error {
-	gat.asked++
+	gat.permitRequests++
 	if gat.full {
 		return trace.LimitExceeded("too many loads")
 	}
@@ -46,11 +47,11 @@
 	return &Executor{Pool: "llm", Fence: gat, Orders: gat, Store: gat, Logger: quiet}
 }
 
-// Guards against an order after the lease ran out while the weight store was slow.
+// Guards against an order that is sent after the lease ran out while the executor waited for the weight store's permit.
 func TestLeaseIsCheckedRightBeforeOrder(t *testing.T) {
 	for _, tst := range []struct {
-		held          []bool
-		asked, orders int
+		held                   []bool
+		permitRequests, orders int
 	}{
 		{[]bool{false}, 0, 0},
 		{[]bool{true, false}, 1, 0},
@@ -58,9 +59,9 @@
 	} {
 		gat := &gate{held: tst.held}
 		sent, err := newExecutor(gat).Execute(t.Context(), time.Unix(1000, 0), Move{Engine: "e", To: Assignment{Model: "writer"}}, "", 0)
-		if err != nil || sent != (tst.orders > 0) || gat.asked != tst.asked || len(gat.orders) != tst.orders {
+		if err != nil || sent != (tst.orders > 0) || gat.permitRequests != tst.permitRequests || len(gat.orders) != tst.orders {
 			t.Errorf("held %v: got sent %v, error %v, %d permits, %d orders; want %d permits, %d orders",
-				tst.held, sent, err, gat.asked, len(gat.orders), tst.asked, tst.orders)
+				tst.held, sent, err, gat.permitRequests, len(gat.orders), tst.permitRequests, tst.orders)
 		}
 		if len(gat.orders) > 0 && gat.orders[0].Fence != 7 {
 			t.Errorf("got token %d; want 7", gat.orders[0].Fence)
@@ -68,7 +69,7 @@
 	}
 }
 
-// Guards against a pool that asks the store without pause and so takes the permits of other pools.
+// Guards against a pool that repeats a refused request for a permit at once and so uses up the permits of other pools.
 func TestRefusedPermitPauses(t *testing.T) {
 	gat := &gate{held: []bool{true, true, true}, full: true}
 	exe := newExecutor(gat)
@@ -78,12 +79,12 @@
 			t.Fatalf("got sent %v, error %v; want a refusal", sent, err)
 		}
 	}
-	if got, want := gat.asked, 2; got != want {
+	if got, want := gat.permitRequests, 2; got != want {
 		t.Errorf("got %d permits asked for; want %d", got, want)
 	}
 }
 
-// Guards against a log line that does not say why another engine was not moved.
+// Guards against a move that does not list, for its log line, why another engine was not chosen.
 func TestMoveListsRejections(t *testing.T) {
 	now := time.Unix(1000, 0)
 	moves := Plan(now, View{
--- a/placement/plan.go
+++ b/placement/plan.go
@@ -10,41 +10,43 @@
 const (
 	// MoveInterval is the least time between two moves of one engine.
 	MoveInterval = 60 * time.Second
-	// MinGain is the ratio by which demand per engine must differ before an engine is moved.
+	// MinGain is the ratio of the demand per engine of two models that must be exceeded before an engine is moved.
 	MinGain = 1.2
-	// idleDemand is the demand below which nobody asks for a model; one request raises the smoothed demand above it.
+	// idleDemand is the smoothed demand below which a model is idle; one request raises the demand above it.
 	idleDemand = 0.02
 	// maxRejections bounds the rejected candidates that a move lists, so that its log line stays readable.
 	maxRejections = 5
 )
 
-// planner holds the state of one plan.
+// planner holds the state of the computation of one plan.
 type planner struct {
 	now     time.Time
 	models  []Model
 	index   map[string]int
 	engines []Engine
-	// serving is the number of engines of each model that serve or load it.
+	// serving is the number of engines that serve or load each model.
 	serving []int
-	// domains counts the engines of each model in each failure domain.
+	// domains counts the engines that serve or load each model, by failure domain.
 	domains []map[string]int
-	// loading is the number of engines of each model that load it now.
+	// loading is the number of engines that load each model now.
 	loading []int
-	// current is the model of each engine, or -1.
+	// current is the index of each engine's model, or -1.
 	current []int
-	moved   []bool
-	// rejected collects the rejected candidates of the move under way.
+	// moved is true for each engine that the plan has given another model.
+	moved []bool
+	// rejected collects the candidates that were not chosen for the next move.
 	rejected []Rejection
 	moves    []Move
 }
 
-// Plan returns the orders to send, those of most worth first.
+// Plan returns the orders to send, the most urgent first: engines without a model, models below their minimum,
+// moves for demand, and then version changes.
 func Plan(now time.Time, vew View) []Move {
 	pln := newPlanner(now, vew)
-	pln.fill()
+	pln.fillEmpty()
 	pln.restoreMinimum()
 	pln.balance()
-	pln.roll()
+	pln.rollVersions()
 	return pln.moves
 }
 
@@ -74,16 +76,17 @@
 	return pln
 }
 
+// count changes the number of engines that serve or load a model.
 func (pln *planner) count(model int, eng Engine, change int) {
 	pln.serving[model] += change
 	pln.domains[model][eng.FailureDomain] += change
 }
 
-// fill gives each engine without a model of the pool the model that needs it most.
-func (pln *planner) fill() {
+// fillEmpty gives each engine that has no model of the pool the model that needs an engine most.
+func (pln *planner) fillEmpty() {
 	for {
 		pln.rejected = pln.rejected[:0]
-		to := pln.neediest()
+		to := pln.recipient()
 		from := pln.pickEngine(-1, to)
 		if to < 0 || from < 0 {
 			return
@@ -92,11 +95,11 @@
 	}
 }
 
-// restoreMinimum takes engines from models above their minimum, or from idle models, for those below theirs.
+// restoreMinimum moves engines from models above their minimum, or from idle ones, to models below their minimum.
 func (pln *planner) restoreMinimum() {
 	for range pln.engines {
 		pln.rejected = pln.rejected[:0]
-		to := pln.shortest()
+		to := pln.belowMinimum()
 		if to < 0 {
 			return
 		}
@@ -109,8 +112,8 @@
 	}
 }
 
-// shortest is the model below its minimum that has the most worth, or -1.
-func (pln *planner) shortest() int {
+// belowMinimum is the model with the most demand per engine of those below their minimum, or -1.
+func (pln *planner) belowMinimum() int {
 	best := -1
 	for i, mdl := range pln.models {
 		if pln.serving[i] < mdl.MinEngines && (best < 0 || pln.pressure(i, 0) > pln.pressure(best, 0)) {
@@ -120,17 +123,17 @@
 	return best
 }
 
-// donor is the model that misses an engine least, or -1.
-// An idle model gives up engines below its minimum only to restore the minimum of one that is asked for.
+// donor is the model that has the least demand per engine after it gives up an engine, or -1.
+// A model gives up engines of its minimum only if it is idle and the engine restores the minimum of a model in demand.
 func (pln *planner) donor(to int, restoring bool) int {
 	best := -1
 	for i, mdl := range pln.models {
-		spare := pln.serving[i] > mdl.MinEngines
-		givesWay := restoring && mdl.Demand < idleDemand && pln.models[to].Demand >= idleDemand
+		aboveMinimum := pln.serving[i] > mdl.MinEngines
+		preemptible := restoring && mdl.Demand < idleDemand && pln.models[to].Demand >= idleDemand
 		if i == to || pln.serving[i] == 0 {
 			continue
 		}
-		if !spare && !givesWay {
+		if !aboveMinimum && !preemptible {
 			pln.reject(mdl.Name, "model has no engine above its minimum")
 			continue
 		}
@@ -141,9 +144,9 @@
 	return best
 }
 
-// neediest is the model with the most demand per engine; one below its minimum goes first.
-func (pln *planner) neediest() int {
-	best := pln.shortest()
+// recipient is the model with the most demand per engine; models below their minimum take precedence.
+func (pln *planner) recipient() int {
+	best := pln.belowMinimum()
 	if best >= 0 {
 		return best
 	}
@@ -155,8 +158,8 @@
 	return best
 }
 
-// pressure is the demand per engine of a model after a change of its engines.
-// A small demand is added, so that models without demand are spread evenly.
+// pressure is the demand per engine of a model after a change of the number of its engines.
+// It adds a small demand to each model, so that engines are spread evenly over models without demand.
 func (pln *planner) pressure(model, change int) float64 {
 	engines := pln.serving[model] + change
 	demand := pln.models[model].Demand + idleDemand/2
@@ -166,11 +169,11 @@
 	return demand / float64(engines)
 }
 
-// balance moves engines while a move gains more than MinGain.
+// balance moves engines to models with more demand per engine while a move gains more than MinGain.
 func (pln *planner) balance() {
 	for range pln.engines {
 		pln.rejected = pln.rejected[:0]
-		to := pln.neediest()
+		to := pln.recipient()
 		if to < 0 || pln.models[to].Demand < idleDemand {
 			return
 		}
@@ -190,7 +193,8 @@
 	}
 }
 
-// pickEngine chooses an engine of a model in the failure domain with fewest engines of the new one.
+// pickEngine chooses an engine of the model from, or one without a model if from is -1, in the failure domain with the
+// fewest engines of the model to. It returns -1 if no engine can be moved.
 func (pln *planner) pickEngine(from, to int) int {
 	if to < 0 {
 		return -1
@@ -211,7 +215,7 @@
 	return best
 }
 
-// immovable says why an engine is left as it is; it is empty for one that may be moved.
+// immovable is the reason why an engine cannot be moved; it is empty for one that can.
 func (pln *planner) immovable(eng Engine) string {
 	switch {
 	case eng.Lost:
@@ -227,13 +231,14 @@
 	}
 }
 
-// reject notes a candidate that was not chosen.
+// reject records a candidate that was not chosen and the reason.
 func (pln *planner) reject(candidate, reason string) {
 	if len(pln.rejected) < maxRejections {
 		pln.rejected = append(pln.rejected, Rejection{Candidate: candidate, Reason: reason})
 	}
 }
 
+// move adds the move of an engine to the plan and updates the counts.
 func (pln *planner) move(eng, to int, reason string, gain float64) {
 	mov := Move{Engine: pln.engines[eng].Name, To: pln.models[to].assignment(), Reason: reason, Gain: gain}
 	mov.Rejections = slices.Clone(pln.rejected)
@@ -248,8 +253,9 @@
 	pln.moves = append(pln.moves, mov)
 }
 
-// roll brings one engine of each model at a time to the model's version.
-func (pln *planner) roll() {
+// rollVersions adds a rolling update to the model's version: one engine of each model at a time, and none while
+// another engine loads the model.
+func (pln *planner) rollVersions() {
 	for model, mdl := range pln.models {
 		if pln.loading[model] > 0 {
 			continue
--- a/placement/plan_test.go
+++ b/placement/plan_test.go
@@ -52,20 +52,22 @@
 	} `yaml:"want"`
 }
 
-// fleet holds engines that reach an ordered state after a time; an order on its way may be lost or arrive again.
+// fleet simulates engines that need some time to reach an ordered state; an order may be lost or arrive a second time.
 type fleet struct {
-	cas       planCase
-	second    int
-	engines   map[string]*Engine
+	cas     planCase
+	second  int
+	engines map[string]*Engine
+	// due holds the events to come by their second.
 	due       map[int][]func()
 	orders    int
 	lastOrder int
 	permits   int
 	loading   map[string]map[string]bool
 	demand    *Demand
-	// last holds each engine's last order and its second.
-	last    map[string]endpoint.Order
-	lastAt  map[string]int
+	// last and lastAt hold each engine's last order and the second at which it was sent.
+	last   map[string]endpoint.Order
+	lastAt map[string]int
+	// tooSoon lists the moves of an engine within MoveInterval of its last one.
 	tooSoon []string
 }
 
@@ -85,10 +87,10 @@
 
 func (flt *fleet) now() time.Time { return time.Unix(int64(100000+flt.second), 0) }
 
-// MayOrder gives the token; the lease is always held here.
+// MayOrder returns a token; the lease is always held in this test.
 func (flt *fleet) MayOrder(string, bool) (int64, bool) { return 1, true }
 
-// Acquire grants permits at the store's rate, one at a time.
+// Acquire grants permits at the rate of the case's weight store.
 func (flt *fleet) Acquire(context.Context, string, int64) error {
 	if rate := flt.cas.StorePerMinute; rate > 0 && flt.permits > flt.second*rate/60 {
 		return trace.LimitExceeded("too many loads")
@@ -97,7 +99,7 @@
 	return nil
 }
 
-// Order starts a load, which takes the engine away from its old version until it is done.
+// Order starts a load, after which the engine reports the ordered model and version instead of the old ones.
 func (flt *fleet) Order(_ context.Context, tgt endpoint.Target, ord endpoint.Order) error {
 	flt.orders++
 	flt.lastOrder = flt.second
@@ -179,7 +181,7 @@
 	return names
 }
 
-// Each case of testdata/plan.yaml names the failure that it guards against.
+// TestPlan runs the cases of testdata/plan.yaml. The key guards of a case names the failure that it guards against.
 func TestPlan(t *testing.T) {
 	data, err := os.ReadFile("testdata/plan.yaml")
 	if err != nil {
@@ -279,8 +281,8 @@
 	}
 }
 
-// Measures one plan of a pool of today's largest model.
+// Measures the computation of one plan for a pool with as many engines as the largest model has today.
 func BenchmarkPlan31(b *testing.B) { benchmarkPlan(b, 31, 2) }
 
-// Measures one plan of the whole target fleet in one pool, with demand that moves many engines.
+// Measures the computation of one plan for the whole target fleet in one pool, with demand that moves many engines.
 func BenchmarkPlan1000(b *testing.B) { benchmarkPlan(b, 1000, 32) }
--- a/placement/view.go
+++ b/placement/view.go
@@ -1,4 +1,4 @@
-// Package placement decides which engine has which model and sends the orders that bring it about.
+// Package placement decides which engine serves which model and sends the orders to the engines.
 package placement
 
 import (
@@ -11,7 +11,7 @@
 	RoleServing = "serving"
 )
 
-// Assignment is the end state that an engine should reach.
+// Assignment is the state that an order asks an engine to reach.
 type Assignment struct {
 	Model   string `json:"model" yaml:"model"`
 	Adapter string `json:"adapter,omitempty" yaml:"adapter"`
@@ -19,20 +19,20 @@
 	Role    string `json:"role,omitempty" yaml:"role"`
 }
 
-// Engine is what the lease holder knows of an engine.
+// Engine is the state of an engine as the lease holder knows it.
 type Engine struct {
 	Name          string
 	FailureDomain string
-	// Models are those that the engine reports as loaded.
+	// Models are the models that the engine reports as loaded.
 	Models []string
 	// Versions holds the version of each loaded model, if the engine reports it.
 	Versions map[string]string
 	Role     string
-	// Lost is true if the engine is leaving, draining or cannot be reached.
+	// Lost is true if the engine is leaving, draining or unreachable.
 	Lost bool
 	// Reported is false until the first load report.
 	Reported bool
-	// Ordered is the state of the last order; its model is empty if there was none.
+	// Ordered is the state that the last order asked for; its model is empty if there was no order.
 	Ordered   Assignment
 	OrderedAt time.Time
 }
@@ -47,21 +47,22 @@
 	Demand float64
 }
 
-// View is what a plan is based on.
+// View is the input of a plan: the engines of a pool and the models that it should serve.
 type View struct {
 	Engines []Engine
 	Models  []Model
 }
 
-// Move is one order of a plan.
+// Move is an order of a plan: it gives an engine a model or a version.
 type Move struct {
 	Engine string
 	From   string
 	To     Assignment
 	Reason string
-	// Gain is how much more demand an engine of the new model has to serve, as a ratio.
+	// Gain is the demand per engine of the new model divided by that of the old one without the engine; it is 0 for moves
+	// for another reason.
 	Gain float64
-	// Rejections holds some of the engines and models that were not chosen.
+	// Rejections holds the first few engines and models that were not chosen.
 	Rejections []Rejection
 }
 
@@ -71,17 +72,17 @@
 	Reason    string `json:"reason"`
 }
 
-// assignment is the end state of an engine that serves the model.
+// assignment is the state of an engine that serves the model.
 func (mdl Model) assignment() Assignment {
 	return Assignment{Model: mdl.Name, Adapter: mdl.Adapter, Version: mdl.Version, Role: RoleServing}
 }
 
-// loading reports whether the last order has not shown in a report yet.
+// loading reports whether the engine was ordered to load a model within the last MoveInterval and does not report it yet.
 func (eng Engine) loading(now time.Time) bool {
 	return eng.Ordered.Model != "" && !eng.has(eng.Ordered) && now.Sub(eng.OrderedAt) < MoveInterval
 }
 
-// has reports whether the engine has reached an end state.
+// has reports whether the engine reports that it has reached a state. An engine that reports no version has any version.
 func (eng Engine) has(asg Assignment) bool {
 	if !slices.Contains(eng.Models, asg.Model) {
 		return false
@@ -101,7 +102,7 @@
 	return ""
 }
 
-// VersionLabel is the form in which engines report a version with its adapter.
+// VersionLabel is the version as engines report it, with the adapter if there is one.
 func VersionLabel(asg Assignment) string {
 	if asg.Adapter == "" {
 		return asg.Version
