--- a/membership/cost_test.go
+++ b/membership/cost_test.go
@@ -6,10 +6,11 @@
 	"testing/synctest"
 )
 
-// rpcBytes allows for what JSON-RPC adds to a message; a request with the method's name takes about 70 bytes.
+// rpcBytes is an upper estimate of the bytes that JSON-RPC adds to a message; a request with the method's name takes
+// about 70 bytes.
 const rpcBytes = 88
 
-// Guards against gossip that takes more than its part of a node's 2 KB/s once the members know each other.
+// Guards against gossip that exceeds its part of a node's 2 KB/s although the members know each other and nothing changes.
 func TestGossipStaysInBudget(t *testing.T) {
 	const budget, settle, measured = 1600, 75, 10
 	for _, count := range []int{8, 50, 200, fleetSize} {
--- a/membership/exchange.go
+++ b/membership/exchange.go
@@ -10,45 +10,47 @@
 )
 
 const (
-	// MethodExchange is the peers' method for gossip.
+	// MethodExchange is the method with which peers exchange gossip.
 	MethodExchange = "member.exchange"
 	// MaxMessageBytes bounds the JSON of a message, as section 3.4 of the design demands.
 	MaxMessageBytes = 700
-	// maxEntryBytes keeps room for one other entry beside the sender's own.
+	// maxEntryBytes bounds an entry, so that a message has room for the sender's entry and another one.
 	maxEntryBytes = 320
-	// usualMessageBytes is the size beyond which a message holds nothing but the sender and one item, so that
-	// four messages a second stay below 1.6 KB/s of a node's 2 KB/s, also when many members change at once.
-	usualMessageBytes = 280
+	// targetMessageBytes is the size that a message exceeds only by its first item, after which it takes no other, or by
+	// an organisation over its limit. It keeps four messages a second below 1.6 KB/s of a node's 2 KB/s, also when many
+	// members change at once.
+	targetMessageBytes = 280
 )
 
-// Entry is what a message says of one member. Keys are short because of the bound on messages.
+// Entry describes one member in a message. Keys are short because messages are bounded.
 type Entry struct {
 	Name          string `json:"n"`
 	Address       string `json:"a"`
 	AdminAddress  string `json:"m,omitempty"`
 	FailureDomain string `json:"d"`
 	Incarnation   string `json:"i"`
-	// Epoch orders the incarnations of one name: it is the start time in milliseconds,
-	// or greater than the epoch of an incarnation that the daemon heard of.
+	// Epoch orders the incarnations of one name. It is the start time in milliseconds, or one more than the epoch
+	// of another incarnation that the daemon received, if that is greater.
 	Epoch int64 `json:"e"`
-	// Beat orders what is said of one incarnation; only the member itself increments it.
-	Beat    int64 `json:"b,omitempty"`
-	State   State `json:"s,omitempty"`
-	Version int64 `json:"v,omitempty"`
+	// Revision orders the entries of one incarnation; only the member itself increments it.
+	Revision int64 `json:"b,omitempty"`
+	State    State `json:"s,omitempty"`
+	Version  int64 `json:"v,omitempty"`
 }
 
-// Message is one half of an exchange.
+// Message is the request or the reply of an exchange.
 type Message struct {
 	Sender  Entry   `json:"from"`
 	Members []Entry `json:"members,omitempty"`
-	// Changes tell of incarnations that most daemons know in a tenth of an entry's bytes.
+	// Changes describe incarnations that most daemons already know; a change takes a tenth of an entry's bytes.
 	Changes []Change `json:"changes,omitempty"`
-	// Known and Young are the numbers of members that the sender knows, and of those that started lately.
-	Known int `json:"k,omitempty"`
-	Young int `json:"y,omitempty"`
+	// Known is the number of members that the sender knows and that are not gone. RecentStarts is the number of those
+	// that started within recentStartTime.
+	Known        int `json:"k,omitempty"`
+	RecentStarts int `json:"y,omitempty"`
 	// Leaving holds notices of leaving endpoints.
 	Leaving []Notice `json:"leaving,omitempty"`
-	// Over holds an organisation over its limit and the seconds for which it counts as such.
+	// Over holds an organisation that is over its limit, and the seconds after which that information expires.
 	Over map[string]int `json:"over,omitempty"`
 }
 
@@ -58,10 +60,11 @@
 	Since    time.Time `json:"since"`
 }
 
-// Change is the incarnation's identifier, the beat and the rank of the state.
+// Change holds the incarnation's identifier, the revision and the rank of the state.
 type Change [3]int64
 
-// id is short, as messages are bounded; among 400 incarnations two share one with a probability of 2 in 100,000.
+// id is a hash of an incarnation. It is short because messages are bounded; among 400 incarnations the probability
+// that two have the same one is 2 in 100,000.
 func id(incarnation string) int64 {
 	return int64(binary.BigEndian.Uint32(idBytes(incarnation)))
 }
@@ -71,13 +74,13 @@
 }
 
 func (rec *record) change() Change {
-	return Change{id(rec.Incarnation), rec.Beat, int64(rec.State.rank())}
+	return Change{id(rec.Incarnation), rec.Revision, int64(rec.State.rank())}
 }
 
 // wireEntry has the fields of an entry without its methods.
 type wireEntry Entry
 
-// MarshalJSON leaves out what is usual: the state live, and an admin address at the IP address of the other one.
+// MarshalJSON omits the state if it is live, and the host of the admin address if it is that of the address.
 func (ent Entry) MarshalJSON() ([]byte, error) {
 	if ent.State == StateLive {
 		ent.State = ""
@@ -89,7 +92,7 @@
 	return json.Marshal(wireEntry(ent))
 }
 
-// UnmarshalJSON restores what MarshalJSON left out.
+// UnmarshalJSON restores what MarshalJSON omitted.
 func (ent *Entry) UnmarshalJSON(data []byte) error {
 	if err := json.Unmarshal(data, (*wireEntry)(ent)); err != nil {
 		return err
@@ -112,13 +115,13 @@
 	if ent.Incarnation != old.Incarnation {
 		return ent.Incarnation > old.Incarnation
 	}
-	if ent.Beat != old.Beat {
-		return ent.Beat > old.Beat
+	if ent.Revision != old.Revision {
+		return ent.Revision > old.Revision
 	}
 	return ent.State.rank() > old.State.rank()
 }
 
-// valid refuses entries that can't be kept or passed on.
+// valid reports whether an entry is complete, has a known state and is small enough for a message.
 func (ent Entry) valid() bool {
 	return ent.Name != "" && ent.Address != "" && ent.Incarnation != "" && ent.State.rank() >= 0 && size(ent) <= maxEntryBytes
 }
--- a/membership/fleet_test.go
+++ b/membership/fleet_test.go
@@ -14,8 +14,8 @@
 	fleetDomains = 18
 	fleetRegions = 5
 	fleetStep    = 100 * time.Millisecond
-	// callTime is the time after which a call to an unreachable daemon fails, as in package peer.
-	callTime = time.Second
+	// callTimeout is the time after which a call to an unreachable daemon fails, the same as in package peer.
+	callTimeout = time.Second
 )
 
 // fleetNode is one daemon of a fleet; a down node neither sends nor answers.
@@ -27,11 +27,12 @@
 	region  int
 	down    bool
 	nextAt  time.Time
-	// told is true after the node told others of a leaving endpoint.
-	told bool
-	// failing is the target of a call that does not end before nextAt.
+	// noticeForwarded is true after the node forwarded the notice of a leaving endpoint.
+	noticeForwarded bool
+	// failing is the target of a call in flight that times out at nextAt.
 	failing string
-	bytes   int
+	// bytes counts the bytes that the node sent and received.
+	bytes int
 }
 
 // fleet runs tables with the daemons' timing on a simulated clock.
@@ -41,12 +42,13 @@
 	nodes        []*fleetNode
 	index        map[string]*fleetNode
 	vms          []provider.VM
-	cut          func(one, other *fleetNode) bool
+	// cut reports whether two nodes cannot reach each other.
+	cut func(one, other *fleetNode) bool
 	// interval is the time between two exchanges of a node.
 	interval time.Duration
-	// tell is true while nodes that hear of a leaving endpoint tell others.
-	tell bool
-	// bytes counts the current second; peak is the greatest mean of a node in one second.
+	// forwardNotices is true while nodes that receive the notice of a leaving endpoint forward it.
+	forwardNotices bool
+	// bytes counts the bytes of all nodes in the current second; peak is the greatest mean over all nodes in one second.
 	bytes, peak int
 }
 
@@ -71,7 +73,7 @@
 	return flt
 }
 
-// start gives a node a new incarnation with an identifier as long as a daemon's.
+// start gives a node a new incarnation with an identifier as long as that of a real daemon.
 func (flt *fleet) start(node *fleetNode) {
 	node.tab = NewTable(flt.now, Member{
 		Name: node.name, Address: node.address, AdminAddress: node.address[:len(node.address)-4] + "9500",
@@ -91,8 +93,8 @@
 			if !node.down && !flt.now.Before(node.nextAt) {
 				flt.exchange(node)
 			}
-			if flt.tell {
-				flt.tellOthers(node)
+			if flt.forwardNotices {
+				flt.forwardNotice(node)
 			}
 		}
 		if flt.now.Sub(flt.now.Truncate(time.Second)) == 0 {
@@ -117,14 +119,14 @@
 	}
 	peer := flt.index[tgt.Name]
 	if peer.down || flt.cut(node, peer) {
-		node.failing, node.nextAt = tgt.Name, flt.now.Add(callTime)
+		node.failing, node.nextAt = tgt.Name, flt.now.Add(callTimeout)
 		return
 	}
 	ask := node.tab.Message(flt.now, flt.rnd, tgt.Name, false)
 	flt.receive(peer, ask)
 	reply := peer.tab.Message(flt.now, flt.rnd, node.name, true)
 	flt.receive(node, reply)
-	flt.count(node, peer, size(ask)+size(reply)+2*rpcBytes)
+	flt.countBytes(node, peer, size(ask)+size(reply)+2*rpcBytes)
 	if node.tab.WantsList(flt.now, flt.rnd, reply) {
 		req := node.tab.ListRequest(flt.now)
 		rep, err := peer.tab.List(req)
@@ -134,20 +136,21 @@
 		if err != nil {
 			panic(err)
 		}
-		flt.count(node, peer, size(req)+size(rep)+2*rpcBytes)
+		flt.countBytes(node, peer, size(req)+size(rep)+2*rpcBytes)
 	}
 }
 
-// tellOthers passes a notice on once, a step after the node heard it, as daemons do with endpoint.leaving.
-func (flt *fleet) tellOthers(node *fleetNode) {
+// forwardNotice sends a notice to some random members once, a step after the node received it, as daemons do with the
+// method endpoint.leaving.
+func (flt *fleet) forwardNotice(node *fleetNode) {
 	notices := node.tab.Notices()
-	if node.told || len(notices) == 0 || !node.tab.notices[notices[0].Endpoint].heardAt.Before(flt.now) {
+	if node.noticeForwarded || len(notices) == 0 || !node.tab.notices[notices[0].Endpoint].receivedAt.Before(flt.now) {
 		return
 	}
-	node.told = true
+	node.noticeForwarded = true
 	for _, tgt := range node.tab.Sample(flt.rnd, 8) {
 		flt.index[tgt.Name].tab.Notice(flt.now, notices[0])
-		flt.count(node, flt.index[tgt.Name], size(notices[0])+2*rpcBytes)
+		flt.countBytes(node, flt.index[tgt.Name], size(notices[0])+2*rpcBytes)
 	}
 }
 
@@ -159,13 +162,14 @@
 	}
 }
 
-func (flt *fleet) count(node, peer *fleetNode, bytes int) {
+func (flt *fleet) countBytes(node, peer *fleetNode, bytes int) {
 	node.bytes += bytes
 	peer.bytes += bytes
 	flt.bytes += 2 * bytes
 }
 
-// rate returns the mean over all nodes and the greatest of a node, in bytes sent and received per second, and begins anew.
+// rate returns the mean over all nodes and the greatest rate of a node, in bytes sent and received per second, and resets
+// the counts.
 func (flt *fleet) rate(dur time.Duration) (mean, most int) {
 	for _, node := range flt.nodes {
 		mean += node.bytes
@@ -182,12 +186,12 @@
 	return ok && rec.State == sta && rec.Incarnation == other.tab.self.Incarnation
 }
 
-// spread runs until each node in who knows about each node in whom, and returns the time that each pair took.
-func (flt *fleet) spread(limit time.Duration, who, whom []*fleetNode, knows func(node, other *fleetNode) bool) (times []time.Duration, missing int) {
+// spread runs until each of the observers knows about each observed node, and returns the time that each pair took.
+func (flt *fleet) spread(limit time.Duration, observers, observed []*fleetNode, knows func(node, other *fleetNode) bool) (times []time.Duration, missing int) {
 	type pair struct{ node, other *fleetNode }
 	var open []pair
-	for _, node := range who {
-		for _, other := range whom {
+	for _, node := range observers {
+		for _, other := range observed {
 			if node != other {
 				open = append(open, pair{node, other})
 			}
@@ -233,7 +237,7 @@
 	return fmt.Sprintf("p50 %v, p90 %v, p99 %v, greatest %v of %d", at(50), at(90), at(99), at(100), len(times))
 }
 
-func within(t *testing.T, what string, times []time.Duration, missing int, bound time.Duration) {
+func checkWithin(t *testing.T, what string, times []time.Duration, missing int, bound time.Duration) {
 	t.Helper()
 	t.Logf("%s: %s, %d missing", what, quantiles(times), missing)
 	if missing > 0 || len(times) > 0 && times[len(times)-1] > bound {
@@ -241,8 +245,9 @@
 	}
 }
 
-// mostly checks that 99 of 100 pairs took at most the bound and one in 1,000 is missing; chance decides for the last ones.
-func mostly(t *testing.T, what string, times []time.Duration, missing int, bound time.Duration) {
+// checkMost checks that 99 of 100 pairs took at most the bound and at most one in 1,000 is missing. It does not check
+// every pair because the time of the last ones is random.
+func checkMost(t *testing.T, what string, times []time.Duration, missing int, bound time.Duration) {
 	t.Helper()
 	t.Logf("%s: %s, %d missing", what, quantiles(times), missing)
 	if all := len(times) + missing; 1000*missing > all || len(times) < all*99/100 || times[all*99/100-1] > bound {
@@ -252,7 +257,7 @@
 
 func live(node, other *fleetNode) bool { return node.knows(other, StateLive) }
 
-// notUsed reports that a node doesn't take another one for a live member; it may never have met it.
+// notUsed reports whether a node does not use another one as a member, because it is gone or was never known.
 func notUsed(node, other *fleetNode) bool {
 	rec, ok := node.tab.members[other.name]
 	return !ok || rec.State == StateGone
--- a/membership/list.go
+++ b/membership/list.go
@@ -16,16 +16,18 @@
 const MethodList = "member.list"
 
 const (
-	// minListPause and maxListPause bound the time between two lists; it doubles when a list brings little.
+	// minListPause and maxListPause bound the time between two requests for a list; it doubles after a list with few entries.
 	minListPause = 15 * time.Second
 	maxListPause = time.Minute
-	// listShare is the part of its members that a daemon must lack before it asks for a list, and listMembers the least number.
-	listShare   = 4
-	listMembers = 4
-	// lateListPause is the time after a list for which a smaller lack is left to exchanges.
-	lateListPause = time.Minute
-	// listChance spreads the lists of many daemons that lack the same members over some seconds.
-	listChance = 4
+	// listLackDivisor and listLackMinimum are the lack of members above which a daemon requests a list: the number of
+	// members that it knows divided by listLackDivisor, plus listLackMinimum.
+	listLackDivisor = 4
+	listLackMinimum = 4
+	// catchUpPause is the time after a list during which a smaller lack causes no request, because exchanges alone may end it.
+	catchUpPause = time.Minute
+	// listOdds makes a daemon that lacks members request a list with a probability of one in four per exchange, so that
+	// the requests of many daemons that lack the same members are spread over some seconds.
+	listOdds = 4
 	// maxListBytes bounds a decompressed list.
 	maxListBytes = 1 << 20
 )
@@ -36,24 +38,27 @@
 	Known []byte `json:"known,omitempty"`
 }
 
-// ListReply holds the entries of the others as JSON, compressed with gzip: 45 bytes a member instead of 130.
+// ListReply holds the entries of the members that the request does not name, as JSON compressed with gzip: 45 bytes
+// a member instead of 130.
 type ListReply struct {
 	Members []byte `json:"members,omitempty"`
 }
 
-// WantsList reports whether a peer's message shows that it knows many more members, or many more that started lately.
-// Some time after the last list one more is enough.
+// WantsList reports whether this daemon should request a list from a peer, because the peer's message shows that it
+// knows many more members, or many more recent starts. From catchUpPause after the last list on, one more is enough.
 func (tab *Table) WantsList(now time.Time, rnd *rand.Rand, msg Message) bool {
 	age := now.Sub(tab.listAt)
-	if age < tab.listPause || rnd.IntN(listChance) > 0 {
+	if age < tab.listPause || rnd.IntN(listOdds) > 0 {
 		return false
 	}
-	late := !tab.listAt.IsZero() && age > lateListPause
-	lacks := func(own, peer int) bool { return peer > own+own/listShare+listMembers || late && peer > own }
-	return lacks(tab.known, msg.Known) || lacks(tab.young, msg.Young)
+	catchUp := !tab.listAt.IsZero() && age > catchUpPause
+	lacks := func(own, peer int) bool {
+		return peer > own+own/listLackDivisor+listLackMinimum || catchUp && peer > own
+	}
+	return lacks(tab.known, msg.Known) || lacks(tab.recentStarts, msg.RecentStarts)
 }
 
-// ListRequest composes the question for a list.
+// ListRequest composes the request for a list.
 func (tab *Table) ListRequest(now time.Time) ListRequest {
 	tab.listAt = now
 	known := idBytes(tab.self.Incarnation)
@@ -89,7 +94,8 @@
 	return ListReply{Members: buf.Bytes()}, nil
 }
 
-// ReceiveList merges a list. Its members are not passed on as changes, as others have done that.
+// ReceiveList merges a list. It does not queue the list's members as changes, because other daemons have already
+// broadcast them.
 func (tab *Table) ReceiveList(now time.Time, rep ListReply) error {
 	var entries []Entry
 	if len(rep.Members) > 0 {
@@ -103,13 +109,13 @@
 	}
 	before := len(tab.members)
 	for _, ent := range entries {
-		_, old := tab.news[ent.Name]
+		_, old := tab.pendingChanges[ent.Name]
 		tab.merge(now, ent, false)
 		if !old {
-			delete(tab.news, ent.Name)
+			delete(tab.pendingChanges, ent.Name)
 		}
 	}
-	if len(entries) > before/listShare {
+	if len(entries) > before/listLackDivisor {
 		tab.listPause = minListPause
 	} else {
 		tab.listPause = min(2*tab.listPause, maxListPause)
--- a/membership/member.go
+++ b/membership/member.go
@@ -1,15 +1,15 @@
-// Package membership knows the entry daemons that are alive.
+// Package membership finds out by gossip which entry daemons are alive.
 //
-// Each daemon exchanges its view with one random member a second. Changes travel first, so the size of
-// a message does not depend on the number of members. The platform's VM list gives addresses to begin
-// with and may say that a VM is leaving; it never removes a member that answers.
+// Each daemon exchanges its view with one random member a second. Messages carry recent changes before other entries,
+// so their size does not depend on the number of members. The platform's VM list provides the first addresses and may
+// mark a VM as leaving; it never removes a member that answers.
 package membership
 
 import (
 	"time"
 )
 
-// State is what is known of a daemon.
+// State is the state of a daemon as other daemons see it.
 type State string
 
 // The states of a daemon.
@@ -33,7 +33,7 @@
 	AdminAddress string `json:"adminAddress"`
 }
 
-// rank orders states of the same incarnation and beat; the greater one wins.
+// rank orders states of the same incarnation and revision; the greater one wins.
 func (sta State) rank() int {
 	switch sta {
 	case StateLive:
--- a/membership/message.go
+++ b/membership/message.go
@@ -9,29 +9,30 @@
 )
 
 const (
-	// noticeTime is the time for which a notice is repeated, so that a daemon that missed it hears it later.
+	// noticeTime is the time for which messages repeat a notice, so that a daemon that missed it receives it later.
 	noticeTime = 30 * time.Second
-	// newsTime bounds the time for which a change is passed on first; a change reaches
+	// pendingTime bounds the time for which messages carry a change before other entries; a change reaches
 	// 400 members in about ten exchanges.
-	newsTime = 30 * time.Second
-	// recentTime is the time for which a start counts as recent; daemons that missed one see the difference in the counts.
-	recentTime = 5 * time.Minute
-	// youngTime is the time after its start for which a member is told of its former incarnation.
-	youngTime = time.Minute
-	// doubtedChanges is the number of members that are gone, or were once held gone, in each message, for daemons
-	// that missed the change. Without it some of 400 daemons held one of 240 lost members live for ten minutes.
-	doubtedChanges = 2
-	// maxNoticeBytes leaves room for entries when many endpoints leave at once.
+	pendingTime = 30 * time.Second
+	// recentStartTime is the time for which a start is recent. Messages carry the number of recent starts, so that a daemon
+	// that missed one notices the difference.
+	recentStartTime = 5 * time.Minute
+	// justStartedTime is the time after a member's start for which messages to it carry the entry of its former incarnation.
+	justStartedTime = time.Minute
+	// antiEntropyChanges is the number of random changes in each message for daemons that missed them. Without these,
+	// some of 400 daemons took one of 240 lost members for live for ten minutes.
+	antiEntropyChanges = 2
+	// maxNoticeBytes bounds the notices of a message, to leave room for entries when many endpoints leave at once.
 	maxNoticeBytes = 240
 )
 
 type noticeRecord struct {
 	Notice
-	heardAt time.Time
-	sends   int
+	receivedAt time.Time
+	sends      int
 }
 
-// Notice takes in that an endpoint is leaving and reports whether that is new.
+// Notice stores the notice of a leaving endpoint and reports whether it is new.
 func (tab *Table) Notice(now time.Time, ntc Notice) bool {
 	if ntc.Endpoint == "" || size(ntc) > maxNoticeBytes {
 		return false
@@ -39,11 +40,11 @@
 	if old, ok := tab.notices[ntc.Endpoint]; ok && !ntc.Since.After(old.Since) {
 		return false
 	}
-	tab.notices[ntc.Endpoint] = &noticeRecord{Notice: ntc, heardAt: now}
+	tab.notices[ntc.Endpoint] = &noticeRecord{Notice: ntc, receivedAt: now}
 	return true
 }
 
-// Notices lists what is known of leaving endpoints.
+// Notices lists the stored notices of leaving endpoints.
 func (tab *Table) Notices() []Notice {
 	var notices []Notice
 	for _, name := range sortedNames(tab.notices) {
@@ -52,38 +53,39 @@
 	return notices
 }
 
-// Message composes one half of an exchange with a member.
-// What is known under the receiver's own name goes first, then changes. Without changes a request holds
-// one random member and a reply none; only a receiver that has just started gets one in a reply as well.
-// A request also names one organisation that is over its limit.
+// Message composes the request to a member, or the reply to its request.
+// Information on the receiver goes first: its former incarnation, or a state that it has to refute. Pending changes
+// follow, then one random member if it is a request, and random changes for daemons that missed them. A request also
+// names one organisation that is over its limit.
 func (tab *Table) Message(now time.Time, rnd *rand.Rand, to string, reply bool) Message {
 	msg := Message{Sender: tab.self}
-	msg.Known, msg.Young = tab.known, tab.young
+	msg.Known, msg.RecentStarts = tab.known, tab.recentStarts
 	cps := composer{Message: &msg}
-	cps.room = usualMessageBytes - size(msg) - len(`,"members":[],"changes":[],"leaving":[]`)
-	cps.spare = MaxMessageBytes - usualMessageBytes
-	// Notices take turns with members, because the longest names leave no room for both. So does the receiver's
-	// former incarnation, which would keep changes from a daemon that restarted.
+	cps.room = targetMessageBytes - size(msg) - len(`,"members":[],"changes":[],"leaving":[]`)
+	cps.firstExtra = MaxMessageBytes - targetMessageBytes
+	// Only every second message carries notices, because the longest names leave no room for both notices and entries.
+	// Only the other messages carry the receiver's former incarnation, which in each message would leave no room for
+	// the changes that a restarted daemon needs.
 	if tab.messages++; tab.messages%2 == 1 {
 		tab.addNotices(rnd, &cps)
 	}
-	peer, met := tab.members[to]
-	young := !met || now.Sub(time.UnixMilli(peer.Epoch)) < youngTime
+	peer, found := tab.members[to]
+	justStarted := !found || now.Sub(time.UnixMilli(peer.Epoch)) < justStartedTime
 	switch {
-	case met && young && peer.former != nil && tab.messages%2 == 0:
-		cps.entry(*peer.former)
-	case met && peer.contested:
+	case found && justStarted && peer.formerEntry != nil && tab.messages%2 == 0:
+		cps.entry(*peer.formerEntry)
+	case found && peer.nameConflict:
 		cps.entry(peer.Entry)
-	case met && (peer.State == StateSuspect || peer.State == StateGone):
+	case found && (peer.State == StateSuspect || peer.State == StateGone):
 		cps.change(peer)
 	}
-	tab.addUrgent(now, to, &cps, reply && 2*tab.young > tab.known)
+	tab.addPending(now, to, &cps, reply && 2*tab.recentStarts > tab.known)
 	if !reply {
 		tab.addRandom(rnd, &cps)
 	}
-	tab.addDoubted(rnd, &cps)
+	tab.addAntiEntropy(rnd, &cps)
 	if !reply {
-		tab.addOver(now, &cps)
+		tab.addOverLimit(now, &cps)
 	}
 	return msg
 }
@@ -91,21 +93,23 @@
 // composer fills a message up to its bound.
 type composer struct {
 	*Message
+	// room is the number of bytes left until the message has targetMessageBytes.
 	room int
-	// spare is what the first item may take beyond the room, so that the longest names pass.
-	spare int
+	// firstExtra is the number of bytes by which the first item may exceed the room, so that the longest names fit.
+	firstExtra int
 }
 
-func (cps *composer) take(need int) bool {
-	if need > cps.room+cps.spare {
+// reserve takes the bytes of an item from the room and reports whether there were enough.
+func (cps *composer) reserve(need int) bool {
+	if need > cps.room+cps.firstExtra {
 		return false
 	}
-	cps.room, cps.spare = cps.room-need, 0
+	cps.room, cps.firstExtra = cps.room-need, 0
 	return true
 }
 
 func (cps *composer) entry(ent Entry) bool {
-	if !cps.take(size(ent)) {
+	if !cps.reserve(size(ent)) {
 		return false
 	}
 	cps.Members = append(cps.Members, ent)
@@ -114,7 +118,7 @@
 
 func (cps *composer) change(rec *record) bool {
 	cha := rec.change()
-	if !cps.take(size(cha)) {
+	if !cps.reserve(size(cha)) {
 		return false
 	}
 	cps.Changes = append(cps.Changes, cha)
@@ -133,26 +137,26 @@
 	}
 }
 
-// addDoubted adds some random members that are gone or were once held gone.
-func (tab *Table) addDoubted(rnd *rand.Rand, cps *composer) {
-	if len(tab.doubted) == 0 {
+// addAntiEntropy adds the states of some random members that are gone or whose state has changed.
+func (tab *Table) addAntiEntropy(rnd *rand.Rand, cps *composer) {
+	if len(tab.antiEntropy) == 0 {
 		return
 	}
-	for range doubtedChanges {
-		cps.change(tab.doubted[rnd.IntN(len(tab.doubted))])
+	for range antiEntropyChanges {
+		cps.change(tab.antiEntropy[rnd.IntN(len(tab.antiEntropy))])
 	}
 }
 
-// addUrgent adds recent changes that were not sent often yet, least sent first.
-// Only incarnations that were met lately need whole entries; replies leave them out (brief) while most members
-// have just started, because lists tell of them in a third of the bytes.
-func (tab *Table) addUrgent(now time.Time, to string, cps *composer, brief bool) {
+// addPending adds pending changes, those that were sent least often first, and drops expired ones.
+// Incarnations that this daemon first saw within pendingTime are sent as entries, the others as changes. Replies omit
+// the entries (changesOnly) while most members have just started, because a list takes a third of the bytes.
+func (tab *Table) addPending(now time.Time, to string, cps *composer, changesOnly bool) {
 	bound := tab.changeSends()
 	var records []*record
-	for _, name := range sortedNames(tab.news) {
-		rec := tab.news[name]
-		if now.Sub(rec.newsAt) >= newsTime || rec.sends >= bound {
-			delete(tab.news, name)
+	for _, name := range sortedNames(tab.pendingChanges) {
+		rec := tab.pendingChanges[name]
+		if now.Sub(rec.pendingSince) >= pendingTime || rec.sends >= bound {
+			delete(tab.pendingChanges, name)
 		} else if name != to {
 			records = append(records, rec)
 		}
@@ -160,8 +164,8 @@
 	slices.SortStableFunc(records, func(one, other *record) int { return cmp.Compare(one.sends, other.sends) })
 	for _, rec := range records {
 		var added bool
-		switch whole := now.Sub(rec.metAt) < newsTime; {
-		case whole && brief:
+		switch whole := now.Sub(rec.firstSeenAt) < pendingTime; {
+		case whole && changesOnly:
 			continue
 		case whole:
 			added = cps.entry(rec.Entry)
@@ -175,7 +179,7 @@
 	}
 }
 
-// changeSends is the number of messages in which a change precedes other members.
+// changeSends is the number of messages that carry a change before other entries.
 func (tab *Table) changeSends() int {
 	return changeSendsPerBit * bits.Len(uint(len(tab.members)+1))
 }
@@ -190,7 +194,7 @@
 	for _, name := range names {
 		ntc := tab.notices[name]
 		need := size(ntc.Notice)
-		if need > left || !cps.take(need) {
+		if need > left || !cps.reserve(need) {
 			break
 		}
 		left -= need
--- a/membership/over.go
+++ b/membership/over.go
@@ -7,40 +7,42 @@
 )
 
 const (
-	// maxOverTime bounds what another daemon may say; owners repeat what lasts longer.
-	maxOverTime = time.Minute
-	// overNews is the extension of an organisation's time that is worth passing on before others.
-	overNews = 10 * time.Second
+	// maxOverLimitTime is the longest time for which one message can mark an organisation as over its limit; owners
+	// send the mark again if the organisation stays over its limit.
+	maxOverLimitTime = time.Minute
+	// minOverExtension is the least extension of an organisation's time that is applied and broadcast; shorter ones
+	// are ignored.
+	minOverExtension = 10 * time.Second
 )
 
-// overRecord says until when an organisation counts as over its limit.
+// overRecord holds the time until which an organisation is marked as over its limit.
 type overRecord struct {
 	until time.Time
 	sends int
 }
 
-// Over takes in that an organisation is over its limit for some time. Durations travel instead of times,
-// so that clocks need not agree; they only shrink on their way, so that old news ends.
+// Over marks an organisation as over its limit for some time. Messages carry durations instead of times, so that
+// clocks need not agree. A duration only decreases when daemons pass it on, so that an outdated mark expires.
 func (tab *Table) Over(now time.Time, organisation string, left time.Duration) {
-	until := now.Add(min(left, maxOverTime))
+	until := now.Add(min(left, maxOverLimitTime))
 	rec, ok := tab.over[organisation]
 	switch {
 	case organisation == "" || left <= 0:
 	case !ok:
 		tab.over[organisation] = &overRecord{until: until}
-	case until.Sub(rec.until) >= overNews:
+	case until.Sub(rec.until) >= minOverExtension:
 		rec.until, rec.sends = until, 0
 	}
 }
 
-// IsOver reports whether an organisation is known to be over its limit.
+// IsOver reports whether an organisation is marked as over its limit.
 func (tab *Table) IsOver(now time.Time, organisation string) bool {
 	rec, ok := tab.over[organisation]
 	return ok && now.Before(rec.until)
 }
 
-// addOver adds the organisation that was sent least if there is room; one a message bounds the bytes.
-func (tab *Table) addOver(now time.Time, cps *composer) {
+// addOverLimit adds the organisation that was sent least often, if there is room. One organisation per message bounds the bytes.
+func (tab *Table) addOverLimit(now time.Time, cps *composer) {
 	names := sortedNames(tab.over)
 	if len(names) == 0 {
 		return
@@ -48,7 +50,7 @@
 	name := slices.MinFunc(names, func(one, other string) int { return cmp.Compare(tab.over[one].sends, tab.over[other].sends) })
 	left := tab.over[name].until.Sub(now)
 	over := map[string]int{name: int(left / time.Second)}
-	if left < time.Second || size(over)+len(`"over":`) > cps.room+MaxMessageBytes-usualMessageBytes {
+	if left < time.Second || size(over)+len(`"over":`) > cps.room+MaxMessageBytes-targetMessageBytes {
 		return
 	}
 	tab.over[name].sends++
--- a/membership/rendezvous.go
+++ b/membership/rendezvous.go
@@ -7,8 +7,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Rendezvous orders the live members by their weight for a key; all daemons with the same members agree.
-// One member's coming or going moves only the keys that it is first for.
+// Rendezvous ranks the live members for a key by rendezvous hashing; all daemons with the same members agree.
+// When a member joins or leaves, the first member changes only for the keys that rank this member first.
 func Rendezvous(members []Member, key string) []Member {
 	type weighted struct {
 		member Member
--- a/membership/table.go
+++ b/membership/table.go
@@ -10,71 +10,75 @@
 )
 
 const (
-	// ExchangeInterval is the time between two exchanges that a daemon begins.
+	// ExchangeInterval is the time between two exchanges that a daemon starts.
 	ExchangeInterval = time.Second
-	// suspectTime is the time in which a suspect may show that it lives; five exchanges
+	// suspectTime is the time in which a suspect member can refute the suspicion before it is gone; five exchanges
 	// reach every one of 400 members with a probability above 99%.
 	suspectTime = 5 * time.Second
-	// forgetTime is the time for which a member that is gone is still tried now and then.
-	// It exceeds the hour for which regions may be apart.
+	// forgetTime is the time for which a member that is gone is kept and called occasionally.
+	// It exceeds the hour for which regions may be cut off from each other.
 	forgetTime = 2 * time.Hour
-	// changeSendsPerBit bounds the messages that carry a change before others,
-	// by the logarithm of the member count.
+	// changeSendsPerBit is the number of messages that carry a change before other entries, for each bit of
+	// the member count.
 	changeSendsPerBit = 2
 )
 
-// Table holds what a daemon knows of all daemons. It isn't safe for concurrent use.
+// Table holds a daemon's view of all entry daemons. It isn't safe for concurrent use.
 type Table struct {
 	self    Entry
 	members map[string]*record
-	// names holds the sorted names of the members, or nil after one came or went.
+	// names holds the sorted names of the members, or nil after a member was added or removed.
 	names []string
 	// byID holds the members by the identifier of their incarnation.
 	byID map[int64]*record
-	// news holds the members with a change that others should hear of soon.
-	news    map[string]*record
-	vms     map[string]vmEntry
-	vmNames []string
-	notices map[string]*noticeRecord
-	// over holds the organisations over their limit.
+	// pendingChanges holds the members with a change that messages carry before other entries.
+	pendingChanges map[string]*record
+	vms            map[string]vmEntry
+	vmNames        []string
+	notices        map[string]*noticeRecord
+	// over holds the organisations that are over their limit.
 	over map[string]*overRecord
 	// messages is the number of messages composed.
 	messages int
-	// former is the greatest version that another incarnation of this daemon had in force.
-	former int64
-	// unanswered holds names of the VM list that did not answer and were never met.
+	// formerVersion is the greatest version of the configuration that another incarnation of this daemon had in force.
+	formerVersion int64
+	// unanswered holds the names of the VMs in the platform's list that did not answer a call and are not members.
 	unanswered map[string]bool
-	// known and young are the numbers of members that are not gone, and of those that started lately, at the last tick.
-	known, young int
-	// listPause is the least time between two lists of members, listAt the time of the last one.
+	// known is the number of members that were not gone at the last tick. recentStarts is the number of those that
+	// started within recentStartTime.
+	known, recentStarts int
+	// listPause is the least time between two requests for a list of members, listAt the time of the last request.
 	listPause time.Duration
 	listAt    time.Time
-	// doubted holds the members that were gone, or had shown that they live, when present and absent were found.
-	doubted []*record
-	// present and absent are the targets of exchanges, or nil after a change.
+	// antiEntropy holds the members whose states messages repeat at random for daemons that missed them: those that are
+	// gone, and those that have refuted a suspicion or are leaving. It is computed along with present and absent.
+	antiEntropy []*record
+	// present and absent are the targets of exchanges: those expected to answer, and those that are gone or did not
+	// answer. Both are nil after a change of the table.
 	present, absent []Target
-	// changed is true until Members is called.
+	// changed is true if the table changed after the last call of Changed.
 	changed bool
 }
 
 type record struct {
 	Entry
-	// former is the entry of the incarnation that this one replaced; the daemon itself is told of it.
-	former *Entry
-	// contested is true after another incarnation with an earlier clock called under the same name.
-	contested bool
-	seenAt    time.Time
-	stateAt   time.Time
-	// metAt is the time at which this daemon first heard of the incarnation.
-	metAt time.Time
-	// newsAt is the time of a change that others should hear of soon.
-	newsAt time.Time
-	sends  int
+	// formerEntry is the entry of the incarnation that this one replaced; it is sent to the new incarnation.
+	formerEntry *Entry
+	// nameConflict is true after a message from another incarnation of the same name that is older by its clock.
+	nameConflict bool
+	seenAt       time.Time
+	stateAt      time.Time
+	// firstSeenAt is the time at which this daemon first received an entry of the incarnation.
+	firstSeenAt time.Time
+	// pendingSince is the time of the last change that was put into pendingChanges.
+	pendingSince time.Time
+	// sends is the number of messages that carried that change.
+	sends int
 }
 
 type vmEntry struct {
 	provider.VM
-	// leavingIncarnation is the one that lived when the list first said that the VM is leaving.
+	// leavingIncarnation is the incarnation that the table held when the list first marked the VM as leaving.
 	leavingIncarnation string
 }
 
@@ -85,12 +89,12 @@
 			Name: self.Name, Address: self.Address, AdminAddress: self.AdminAddress, FailureDomain: self.FailureDomain,
 			Incarnation: self.Incarnation, Epoch: now.UnixMilli(), State: StateLive,
 		},
-		members: map[string]*record{},
-		byID:    map[int64]*record{},
-		news:    map[string]*record{},
-		vms:     map[string]vmEntry{},
-		notices: map[string]*noticeRecord{},
-		over:    map[string]*overRecord{},
+		members:        map[string]*record{},
+		byID:           map[int64]*record{},
+		pendingChanges: map[string]*record{},
+		vms:            map[string]vmEntry{},
+		notices:        map[string]*noticeRecord{},
+		over:           map[string]*overRecord{},
 
 		unanswered: map[string]bool{},
 		listPause:  minListPause,
@@ -98,31 +102,31 @@
 	}
 }
 
-// SetVersion notes the version that this daemon has in force.
+// SetVersion sets the version of the configuration that this daemon has in force.
 func (tab *Table) SetVersion(version int64) {
 	if tab.self.Version != version {
 		tab.self.Version = version
-		tab.touch()
+		tab.markChanged()
 	}
 }
 
-// Leave notes that this daemon takes no new work and reports whether that is new.
+// Leave marks this daemon as leaving, which means that it takes no new work. It reports whether the mark is new.
 func (tab *Table) Leave() bool {
 	if tab.self.State == StateLeaving {
 		return false
 	}
 	tab.self.State = StateLeaving
-	tab.self.Beat++
-	tab.touch()
+	tab.self.Revision++
+	tab.markChanged()
 	return true
 }
 
-// Former returns the greatest version that another incarnation of this daemon had in force.
+// Former returns the greatest version of the configuration that another incarnation of this daemon had in force.
 func (tab *Table) Former() int64 {
-	return tab.former
+	return tab.formerVersion
 }
 
-// SetVMs takes in the platform's list.
+// SetVMs applies the platform's list of VMs.
 func (tab *Table) SetVMs(vms []provider.VM) {
 	next := make(map[string]vmEntry, len(vms))
 	for _, vmm := range vms {
@@ -139,7 +143,7 @@
 		next[vmm.Name] = ent
 	}
 	tab.vms, tab.vmNames = next, sortedNames(next)
-	tab.touch()
+	tab.markChanged()
 }
 
 // Receive merges a message from another daemon.
@@ -155,11 +159,11 @@
 		tab.Notice(now, ntc)
 	}
 	for organisation, seconds := range msg.Over {
-		tab.Over(now, organisation, time.Duration(min(seconds, int(maxOverTime/time.Second)))*time.Second)
+		tab.Over(now, organisation, time.Duration(min(seconds, int(maxOverLimitTime/time.Second)))*time.Second)
 	}
 }
 
-// mergeChange takes in a change of an incarnation; entries of unknown ones come later.
+// mergeChange applies a change of a known incarnation. It ignores the others, whose entries arrive in other messages.
 func (tab *Table) mergeChange(now time.Time, cha Change) {
 	ent := tab.self
 	if rec, ok := tab.byID[cha[0]]; ok {
@@ -170,7 +174,7 @@
 	if cha[2] < 0 || cha[2] >= int64(len(states)) {
 		return
 	}
-	ent.Beat, ent.State = cha[1], states[cha[2]]
+	ent.Revision, ent.State = cha[1], states[cha[2]]
 	tab.merge(now, ent, false)
 }
 
@@ -187,14 +191,14 @@
 		if ent.State == StateGone {
 			return
 		}
-		rec := &record{Entry: ent, seenAt: now, stateAt: now, metAt: now}
-		if now.Sub(time.UnixMilli(ent.Epoch)) < newsTime {
-			tab.setNews(now, rec)
+		rec := &record{Entry: ent, seenAt: now, stateAt: now, firstSeenAt: now}
+		if now.Sub(time.UnixMilli(ent.Epoch)) < pendingTime {
+			tab.queueChange(now, rec)
 		}
 		tab.members[ent.Name], tab.byID[id(ent.Incarnation)] = rec, rec
 		tab.names = nil
 		delete(tab.unanswered, ent.Name)
-		tab.touch()
+		tab.markChanged()
 		return
 	}
 	if ent.Incarnation == rec.Incarnation && ent.Version > rec.Version {
@@ -204,59 +208,61 @@
 	case ent.newer(rec.Entry):
 		tab.replace(now, rec, ent, direct)
 	case direct && ent.Incarnation == rec.Incarnation:
-		tab.heard(now, rec, ent)
+		tab.confirm(now, rec, ent)
 	case direct:
-		rec.contested = true
+		rec.nameConflict = true
 	}
 }
 
-// replace takes over a newer entry.
+// replace replaces the entry of a member by a newer one.
 func (tab *Table) replace(now time.Time, rec *record, ent Entry, direct bool) {
 	if ent.Incarnation == rec.Incarnation {
 		ent.Version = rec.Version
 	} else {
 		old := rec.Entry
-		rec.former, rec.metAt = &old, now
+		rec.formerEntry, rec.firstSeenAt = &old, now
 		delete(tab.byID, id(old.Incarnation))
 		tab.byID[id(ent.Incarnation)] = rec
 	}
 	if ent.State != rec.State || ent.Incarnation != rec.Incarnation {
 		rec.stateAt = now
-		tab.setNews(now, rec)
+		tab.queueChange(now, rec)
 	}
-	if direct || ent.Beat > rec.Beat || ent.Epoch > rec.Epoch {
+	if direct || ent.Revision > rec.Revision || ent.Epoch > rec.Epoch {
 		rec.seenAt = now
 	}
 	rec.Entry = ent
-	tab.touch()
+	tab.markChanged()
 }
 
-// heard notes that a member answers, whatever others say; it refutes them once it hears of it.
-func (tab *Table) heard(now time.Time, rec *record, ent Entry) {
+// confirm records that a member sent a message, and its state, whatever others report. The member refutes such reports
+// once it receives them.
+func (tab *Table) confirm(now time.Time, rec *record, ent Entry) {
 	rec.seenAt = now
 	if rec.State != ent.State {
 		tab.setState(now, rec, ent.State)
-		tab.touch()
+		tab.markChanged()
 	}
 }
 
-// mergeSelf refutes what others say of this daemon and learns of its former incarnation.
+// mergeSelf refutes reports of others on this daemon's state. From entries of its other incarnations it learns their
+// versions, and it raises its own epoch above theirs.
 func (tab *Table) mergeSelf(ent Entry) {
 	if ent.Incarnation != tab.self.Incarnation {
-		tab.former = max(tab.former, ent.Version)
+		tab.formerVersion = max(tab.formerVersion, ent.Version)
 		if ent.Epoch >= tab.self.Epoch {
 			tab.self.Epoch = ent.Epoch + 1
-			tab.touch()
+			tab.markChanged()
 		}
 		return
 	}
 	if ent.newer(tab.self) {
-		tab.self.Beat = ent.Beat + 1
-		tab.touch()
+		tab.self.Revision = ent.Revision + 1
+		tab.markChanged()
 	}
 }
 
-// Failed notes that a member did not answer an exchange.
+// Failed records that a member did not answer an exchange, and makes it suspect.
 func (tab *Table) Failed(now time.Time, name string) {
 	rec, ok := tab.members[name]
 	if !ok {
@@ -266,28 +272,29 @@
 	}
 	if rec.State == StateLive || rec.State == StateLeaving {
 		tab.setState(now, rec, StateSuspect)
-		tab.touch()
+		tab.markChanged()
 	}
 }
 
 func (tab *Table) setState(now time.Time, rec *record, sta State) {
 	rec.State, rec.stateAt = sta, now
-	tab.setNews(now, rec)
+	tab.queueChange(now, rec)
 }
 
-func (tab *Table) setNews(now time.Time, rec *record) {
-	rec.newsAt, rec.sends = now, 0
-	tab.news[rec.Name] = rec
+func (tab *Table) queueChange(now time.Time, rec *record) {
+	rec.pendingSince, rec.sends = now, 0
+	tab.pendingChanges[rec.Name] = rec
 }
 
-// Tick applies the bounds on time.
+// Tick applies the time-outs: suspect members become gone, and members that are gone, notices and marks of
+// organisations over their limit are removed.
 func (tab *Table) Tick(now time.Time) {
-	tab.known, tab.young = 0, 0
+	tab.known, tab.recentStarts = 0, 0
 	for name, rec := range tab.members {
 		if rec.State != StateGone {
 			tab.known++
-			if now.Sub(time.UnixMilli(rec.Epoch)) < recentTime {
-				tab.young++
+			if now.Sub(time.UnixMilli(rec.Epoch)) < recentStartTime {
+				tab.recentStarts++
 			}
 		}
 		age := now.Sub(rec.stateAt)
@@ -297,15 +304,15 @@
 		case rec.State == StateGone && age > forgetTime:
 			delete(tab.members, name)
 			delete(tab.byID, id(rec.Incarnation))
-			delete(tab.news, name)
+			delete(tab.pendingChanges, name)
 			tab.names = nil
 		default:
 			continue
 		}
-		tab.touch()
+		tab.markChanged()
 	}
 	for name, ntc := range tab.notices {
-		if now.Sub(ntc.heardAt) > noticeTime {
+		if now.Sub(ntc.receivedAt) > noticeTime {
 			delete(tab.notices, name)
 		}
 	}
@@ -316,13 +323,13 @@
 	}
 }
 
-// touch notes that what the table knows has changed.
-func (tab *Table) touch() {
+// markChanged records that the table has changed, so that the targets of exchanges are computed again.
+func (tab *Table) markChanged() {
 	tab.changed = true
 	tab.present, tab.absent = nil, nil
 }
 
-// Changed reports whether Members would return something new, and clears the mark.
+// Changed reports whether the table changed after the last call, so that Members may return something new.
 func (tab *Table) Changed() bool {
 	changed := tab.changed
 	tab.changed = false
--- a/membership/table_test.go
+++ b/membership/table_test.go
@@ -12,7 +12,7 @@
 	"papayacroft/provider"
 )
 
-// network runs tables that exchange once a second, as daemons do, in the time of a synctest bubble.
+// network simulates daemons whose tables exchange once a second, on the clock of a synctest bubble.
 type network struct {
 	rnd    *rand.Rand
 	tables map[string]*Table
@@ -93,7 +93,8 @@
 	}
 }
 
-// Guards against a dead daemon that stays a member, and against one that a new incarnation does not replace.
+// Guards against a dead daemon that no peer declares gone, and against a restarted one whose new incarnation does not
+// replace the former one at its peers.
 func TestDeadDaemonIsGoneAndReturns(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		net := newNetwork(8)
@@ -109,7 +110,8 @@
 	})
 }
 
-// Guards against a living daemon that stays suspect because one peer could not reach it.
+// Guards against a live daemon that stays suspect or is declared gone because one peer could not reach it, instead of
+// refuting the suspicion.
 func TestSuspicionIsRefuted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		net := newNetwork(8)
@@ -120,7 +122,8 @@
 	})
 }
 
-// Guards against a membership that depends on the VM list: it says nothing of entry-9, or is empty, or calls a VM leaving late.
+// Guards against a membership that depends on the VM list: members must stay when the list becomes empty, entry-9 must
+// become a member without being in the list, and a late list must not mark the new incarnation of a VM as leaving.
 func TestVMListIsOneInput(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		net := newNetwork(4)
@@ -145,7 +148,7 @@
 	})
 }
 
-// Guards against a drain that peers hear of too late.
+// Guards against peers that still take a draining daemon for live after some exchanges.
 func TestLeavingReachesAll(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		net := newNetwork(8)
@@ -156,8 +159,8 @@
 	})
 }
 
-// Guards against an incarnation with a clock behind the former one's that peers take for the older one,
-// and against a daemon that forgets which version its former incarnation had.
+// Guards against peers that ignore a restarted daemon because its clock is behind that of its former incarnation, which
+// makes it look older, and against a daemon that does not learn which version its former incarnation had in force.
 func TestRestartWithEarlierClock(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		now := time.Now()
@@ -176,7 +179,8 @@
 	})
 }
 
-// Guards against messages above the bound of section 3.4, and against changes that wait for their turn at random.
+// Guards against messages above the bound of section 3.4 of the design, and against a random choice of the changes of
+// a message, which would repeat some of them while others wait.
 func TestMessageIsBounded(t *testing.T) {
 	now := time.Now()
 	rnd := rand.New(rand.NewPCG(3, 4))
@@ -202,9 +206,9 @@
 	}
 }
 
-// Guards against an organisation over its limit that some daemons never hear of, and against news that daemons keep
-// alive among themselves after the owner fell silent.
-func TestOverReachesAllAndEnds(t *testing.T) {
+// Guards against an organisation over its limit that some daemons never learn of, and against a mark that never expires
+// because daemons pass it on to each other after the owner stopped sending it.
+func TestOverLimitReachesAllAndExpires(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		net := newNetwork(8)
 		net.run(15)
@@ -219,7 +223,7 @@
 		net.tables["entry-0"].Over(time.Now(), "rimu", time.Hour)
 		net.run(15)
 		want(t, "tables with rimu over its limit", count(), 8)
-		net.run(int(maxOverTime / time.Second))
+		net.run(int(maxOverLimitTime / time.Second))
 		want(t, "tables with rimu over its limit after its time", count(), 0)
 	})
 }
--- a/membership/target.go
+++ b/membership/target.go
@@ -3,30 +3,31 @@
 import "math/rand/v2"
 
 const (
-	// absentShare is the greatest share of exchanges that go to addresses that are not known to answer.
-	absentShare = 10
-	// absentCalls is the number of calls a second that an absent member gets from all others; with 1 some daemons
-	// still held a member of a joined region gone after ten minutes.
-	absentCalls = 2
+	// absentOdds bounds the exchanges with absent targets, which are not known to answer: at most one in ten.
+	absentOdds = 10
+	// absentCallsPerSecond is the number of calls a second that an absent member gets from all daemons together. With 1,
+	// some daemons still took a member of a region for gone ten minutes after the region was connected again.
+	absentCallsPerSecond = 2
 )
 
-// Target is an address to exchange with; the name may be unknown.
+// Target is the address of a daemon to exchange with. Its name need not be that of a member.
 type Target struct {
 	Name    string
 	Address string
 }
 
-// Target chooses whom to exchange with next.
-// Now and then it is an address that does not answer, so that restarted daemons and regions find each other.
+// Target chooses the target of the next exchange at random.
+// Occasionally it is one that is not known to answer, so that restarted daemons and separated regions find each other.
 func (tab *Table) Target(rnd *rand.Rand) (Target, bool) {
 	if tab.present == nil && tab.absent == nil {
 		tab.findTargets()
 	}
 	present := tab.present
 	if absent := len(tab.absent); absent > 0 {
-		// A single absent member gets a few times the exchanges of one that answers; 400 daemons called it 40 times a second.
-		share := max(absentShare, (len(present)+absent)/(absentCalls*absent))
-		if len(present) == 0 || rnd.IntN(share) == 0 {
+		// A few absent members get a few times the calls of one that answers. With absentOdds alone, 400 daemons called
+		// a single absent member 40 times a second.
+		odds := max(absentOdds, (len(present)+absent)/(absentCallsPerSecond*absent))
+		if len(present) == 0 || rnd.IntN(odds) == 0 {
 			present = tab.absent
 		}
 	}
@@ -37,11 +38,11 @@
 }
 
 func (tab *Table) findTargets() {
-	tab.doubted = nil
+	tab.antiEntropy = nil
 	for _, name := range tab.sortedMembers() {
 		rec := tab.members[name]
-		if rec.State == StateGone || rec.Beat > 0 {
-			tab.doubted = append(tab.doubted, rec)
+		if rec.State == StateGone || rec.Revision > 0 {
+			tab.antiEntropy = append(tab.antiEntropy, rec)
 		}
 		if rec.State == StateGone {
 			tab.absent = append(tab.absent, Target{name, rec.Address})
@@ -55,7 +56,7 @@
 		if name == tab.self.Name || vmm.Address == tab.self.Address || ok && rec.Address == vmm.Address {
 			continue
 		}
-		// A new entry of the list is a daemon that has not been met, not one that failed.
+		// A VM of the list that was not called yet is taken for a new daemon and not for a failed one.
 		if ok || tab.unanswered[name] {
 			tab.absent = append(tab.absent, Target{name, vmm.Address})
 		} else {
@@ -64,7 +65,7 @@
 	}
 }
 
-// Sample returns up to count random live members other than this one.
+// Sample returns up to count random members that are not gone, other than this daemon.
 func (tab *Table) Sample(rnd *rand.Rand, count int) []Target {
 	var live []Target
 	for _, name := range tab.sortedMembers() {
