--- a/daemon/admin.go
+++ b/daemon/admin.go
@@ -16,7 +16,7 @@
 
 const maxAdminBodyBytes = 64 << 10
 
-// Status is the answer of GET /admin/status.
+// Status is the response to GET /admin/status.
 type Status struct {
 	Name          string    `json:"name"`
 	Incarnation   string    `json:"incarnation"`
@@ -28,20 +28,22 @@
 	LogReadAt     time.Time `json:"logReadAt,omitzero"`
 	LogError      string    `json:"logError,omitempty"`
 	DrainingSince time.Time `json:"drainingSince,omitzero"`
-	// Behind is true while the daemon waits for a snapshot because records expired before it read them.
+	// Behind is true while the daemon waits for a configuration snapshot because records of the configuration stream
+	// expired before it read them.
 	Behind bool `json:"behind,omitempty"`
 	VMs    int  `json:"vms"`
-	// VMsReadAt is zero if the platform's list has not been read yet.
+	// VMsReadAt is the time of the last successful read of the platform's VM list; zero before the first one.
 	VMsReadAt time.Time `json:"vmsReadAt,omitzero"`
-	// Members holds every daemon that this one knows through gossip.
+	// Members holds every daemon in the membership table, which gossip maintains.
 	Members []membership.Member `json:"members"`
-	// Unmet holds live VMs of the platform's list whose daemon is unknown or gone.
+	// Unmet holds the names of live VMs in the platform's list that are no endpoints and whose daemon is gone or missing
+	// from the membership table.
 	Unmet    []string                `json:"unmet,omitempty"`
 	Gossip   GossipTraffic           `json:"gossip"`
 	Outcomes []configuration.Outcome `json:"outcomes"`
 }
 
-// GossipTraffic counts what this daemon exchanged with others.
+// GossipTraffic counts gossip exchanges that this daemon began, and all bytes sent to and received from other daemons.
 type GossipTraffic struct {
 	Exchanges     int64 `json:"exchanges"`
 	Failures      int64 `json:"failures"`
@@ -49,7 +51,7 @@
 	ReceivedBytes int64 `json:"receivedBytes"`
 }
 
-// ExplainRequest asks which decision a request would get.
+// ExplainRequest describes a hypothetical request; the response is the routing decision for it.
 type ExplainRequest struct {
 	Team  string `json:"team"`
 	Model string `json:"model,omitempty"`
@@ -93,8 +95,8 @@
 	})
 }
 
-// unmet lists live VMs of the platform's list that no member lives on.
-// The list also holds the VMs of endpoints, which are no daemons.
+// unmet returns the names of live VMs in the platform's list whose daemon is gone or missing from the membership table.
+// VMs of endpoints are left out: the platform lists them too, but no daemon runs there.
 func unmet(snp *blackboard.Snapshot) []string {
 	known := map[string]bool{}
 	for _, mem := range snp.Members {
@@ -122,7 +124,7 @@
 	}
 }
 
-// handleConfiguration returns the configuration in force with its version.
+// handleConfiguration responds with the configuration in force and its version.
 func (dmn *Daemon) handleConfiguration(wri http.ResponseWriter, _ *http.Request) {
 	snp := dmn.loop.Snapshot()
 	reply := ConfigurationReply{Version: snp.Version, Offset: snp.VersionOffset}
@@ -132,7 +134,7 @@
 	writeJSON(wri, http.StatusOK, reply)
 }
 
-// ConfigurationReply is the answer of GET /admin/configuration.
+// ConfigurationReply is the response to GET /admin/configuration.
 type ConfigurationReply struct {
 	Version       int64                    `json:"version"`
 	Offset        int64                    `json:"offset"`
--- a/daemon/claims.go
+++ b/daemon/claims.go
@@ -7,7 +7,7 @@
 	"papayacroft/membership"
 )
 
-// buildClaims sets up claims of requests that may not be repeated.
+// buildClaims sets up claims, through which only one daemon runs a request that must not be repeated.
 func (dmn *Daemon) buildClaims() {
 	acq := claim.NewAcquirer(dmn.log, dmn.incarnation, dmn.Settings.PeerAddress)
 	acq.Peers = dmn.peerClient
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -1,4 +1,4 @@
-// Package daemon puts the parts of an entry daemon together.
+// Package daemon assembles an entry daemon from the other packages and runs it.
 package daemon
 
 import (
@@ -27,11 +27,12 @@
 const (
 	headerTimeout = 10 * time.Second
 	idleTimeout   = 2 * time.Minute
-	// maxServerHeaderBytes is the size of headers that net/http refuses without a refusal body.
+	// maxServerHeaderBytes is the limit of net/http on request headers. Beyond it, net/http responds by itself and
+	// without a refusal body.
 	maxServerHeaderBytes = 8 * entry.MaxHeaderBytes
-	// callerBuffer bounds what a socket holds for a caller that does not read; the kernel doubles it.
-	// Left to itself the kernel took 2 MB of one stream. It holds 5 s of a stream at 28 ms and 400 bytes a token.
-	callerBuffer = 64 << 10
+	// callerBufferBytes is the send buffer of a caller's socket; the kernel doubles it. Without it, the kernel buffered
+	// 2 MB of one stream for a caller that did not read. It holds 5 s of a stream at 28 ms and 400 bytes a token.
+	callerBufferBytes = 64 << 10
 )
 
 // Daemon is one entry daemon.
@@ -53,12 +54,12 @@
 	tasks []func(ctx context.Context)
 }
 
-// NewDaemon returns a daemon that needs its exported fields set before Run.
+// NewDaemon returns a daemon with a logger and a new incarnation; set the other exported fields before Run.
 func NewDaemon() *Daemon {
 	return &Daemon{Logger: logrus.StandardLogger(), incarnation: uuid.NewString()}
 }
 
-// Run serves until the context ends, then drains; the second context stops it at once.
+// Run serves until ctx ends, then drains. The end of kill stops the daemon at once, without or during a drain.
 func (dmn *Daemon) Run(ctx, kill context.Context) error {
 	key, err := dmn.Settings.PositionKey()
 	if err != nil {
@@ -119,7 +120,7 @@
 	dmn.buildPlacement()
 	dmn.buildAdmission()
 	dmn.buildQuarantine()
-	dmn.loop.Controllers = append(dmn.loop.Controllers, &noticeCheck{notice: time.Duration(dmn.Settings.DrainNotice), logger: dmn.Logger})
+	dmn.loop.Controllers = append(dmn.loop.Controllers, &deadlineCheck{notice: time.Duration(dmn.Settings.DrainNotice), logger: dmn.Logger})
 	dmn.tasks = append(dmn.tasks, dmn.endStreams)
 }
 
@@ -150,9 +151,9 @@
 		Handler:           hdl,
 		ReadHeaderTimeout: headerTimeout,
 		IdleTimeout:       idleTimeout,
-		// Headers between the two bounds get a refusal body from the entry server.
+		// Headers that are within this limit but exceed entry.MaxHeaderBytes get a refusal body from the entry server.
 		MaxHeaderBytes: maxServerHeaderBytes,
-		ConnContext:    boundBuffer,
+		ConnContext:    limitWriteBuffer,
 	}
 	grp.Go(func() error {
 		if err := srv.Serve(lis); !errors.Is(err, http.ErrServerClosed) {
@@ -163,11 +164,11 @@
 	return srv
 }
 
-// boundBuffer bounds the memory that the kernel keeps for a slow caller.
-func boundBuffer(ctx context.Context, con net.Conn) context.Context {
+// limitWriteBuffer limits the memory in which the kernel buffers a response for a slow caller.
+func limitWriteBuffer(ctx context.Context, con net.Conn) context.Context {
 	if tcp, ok := con.(*net.TCPConn); ok {
-		// A connection that failed already is found out by its first read.
-		_ = tcp.SetWriteBuffer(callerBuffer)
+		// An error means that the connection has failed already; its first read returns the error too.
+		_ = tcp.SetWriteBuffer(callerBufferBytes)
 	}
 	return ctx
 }
--- a/daemon/feed.go
+++ b/daemon/feed.go
@@ -17,7 +17,8 @@
 	maxLogPause    = time.Second
 )
 
-// followLog hands the records of the configuration stream to the control goroutine.
+// followLog reads the configuration stream from its start and sends each batch of records to the control goroutine,
+// which replies with the offset of the next read.
 func (dmn *Daemon) followLog(ctx context.Context) {
 	log := provider.NewHTTPLog(dmn.Settings.Platform.LogURL)
 	pauses := backoff.NewExponentialBackOff()
@@ -40,7 +41,7 @@
 	}
 }
 
-// followVMs hands the platform's list to the control goroutine.
+// followVMs polls the platform's VM list and sends it to the control goroutine.
 func (dmn *Daemon) followVMs(ctx context.Context) {
 	list := provider.NewHTTPVMList(dmn.Settings.Platform.VMsURL)
 	for ctx.Err() == nil {
--- a/daemon/leases.go
+++ b/daemon/leases.go
@@ -15,23 +15,25 @@
 )
 
 const (
-	leaseWait    = time.Second
-	takeTimeout  = 2 * time.Second
-	keepInterval = time.Second
-	// leaseGrace is the time that each daemon lets the ones before it in a pool's order take an expired lease.
+	leaseWait        = time.Second
+	acquireTimeout   = 2 * time.Second
+	maintainInterval = time.Second
+	// leaseGrace is the delay, per rank, before a daemon takes a vacant or expired lease. It keeps the daemons of a
+	// pool's order from racing for the lease.
 	leaseGrace = 2 * time.Second
-	// watchInterval is the time between two reads of a pool's renewals.
+	// watchInterval is the pause between two reads of the watched pools' renewal streams.
 	watchInterval = 2 * time.Second
-	// The pauses between reads of the leases bound what a daemon spends on them. A holder's last read must not
-	// be 8 s old when it orders; a watcher's must not be 10 s old when it takes a lease.
+	// The pauses between reads of the lease stream limit a daemon's control traffic. The last read of a holder must be
+	// less than 8 s old when it sends an order to an engine, that of a watcher less than 10 s old when it takes a lease.
 	holderPause  = time.Second
 	watcherPause = 4 * time.Second
-	otherPause   = 15 * time.Second
-	// rankInterval bounds the work of ranking: 32 pools and 400 daemons take 12,800 hashes.
+	idlePause    = 15 * time.Second
+	// rankInterval is the least age at which ranks are recomputed, since 32 pools and 400 daemons take 12,800 hashes.
 	rankInterval = time.Second
 )
 
-// leaser takes and renews leases apart from the orders, which may wait for engines.
+// leaser takes and renews the placement leases of pools. It runs in goroutines of its own, because the orders that a
+// holder sends to engines may block.
 type leaser struct {
 	keeper   *lease.Keeper
 	name     string
@@ -39,10 +41,10 @@
 	logger   logrus.FieldLogger
 
 	mutex sync.Mutex
-	// ranks holds this daemon's ranks by pool, worked out at rankedAt among the daemons in order.
-	ranks    map[string]int
-	order    []string
-	rankedAt time.Time
+	// ranks caches this daemon's rank per pool among the candidates, which were listed at rankedAt.
+	ranks      map[string]int
+	candidates []string
+	rankedAt   time.Time
 }
 
 func newLeaser(dmn *Daemon) *leaser {
@@ -55,7 +57,7 @@
 	}
 }
 
-// follow reads the leases of all pools.
+// follow reads the lease stream, which holds the leases of all pools.
 func (lsr *leaser) follow(ctx context.Context) {
 	for ctx.Err() == nil {
 		if err := lsr.keeper.Follow(ctx, leaseWait); err != nil {
@@ -63,12 +65,13 @@
 			sleep(ctx, leaseWait)
 			continue
 		}
-		// One read takes in the records of the pause, which keeps its overhead small with many pools.
+		// A read after a pause fetches many records at once, which keeps the overhead per record small with many pools.
 		lsr.pause(ctx)
 	}
 }
 
-// pause waits until the leases should be read again, which may change while it waits.
+// pause waits until the next read of the lease stream is due. It checks the length of the pause again each second,
+// because this daemon may start to hold or watch a lease meanwhile.
 func (lsr *leaser) pause(ctx context.Context) {
 	for waited := time.Duration(0); waited < lsr.pauseLength() && ctx.Err() == nil; waited += holderPause {
 		sleep(ctx, holderPause)
@@ -84,11 +87,11 @@
 	case len(lsr.watched(snp, pools)) > 0:
 		return watcherPause
 	default:
-		return otherPause
+		return idlePause
 	}
 }
 
-// watched lists the pools whose renewals this daemon reads.
+// watched returns the pools whose renewal streams this daemon reads; none while it drains.
 func (lsr *leaser) watched(snp *blackboard.Snapshot, pools []string) []string {
 	var names []string
 	for _, name := range pools {
@@ -99,7 +102,7 @@
 	return names
 }
 
-// watch reads the renewals of the pools for which this daemon is among the first in the order.
+// watch reads the renewal streams of the pools in whose order this daemon ranks high enough.
 func (lsr *leaser) watch(ctx context.Context) {
 	for ctx.Err() == nil {
 		snp := lsr.snapshot()
@@ -114,57 +117,58 @@
 	}
 }
 
-// keep takes, refreshes and renews leases.
-func (lsr *leaser) keep(ctx context.Context) {
+// maintain takes, refreshes and renews leases until the context ends; a draining daemon does none of it.
+func (lsr *leaser) maintain(ctx context.Context) {
 	for ctx.Err() == nil {
 		snp := lsr.snapshot()
 		for _, name := range enginePools(snp) {
 			if snp.DrainingSince.IsZero() {
-				lsr.keepPool(ctx, snp, name)
+				lsr.maintainPool(ctx, snp, name)
 			}
 		}
-		sleep(ctx, keepInterval)
+		sleep(ctx, maintainInterval)
 	}
 }
 
-func (lsr *leaser) keepPool(ctx context.Context, snp *blackboard.Snapshot, pool string) {
+func (lsr *leaser) maintainPool(ctx context.Context, snp *blackboard.Snapshot, pool string) {
 	if lsr.keeper.Due(pool, time.Duration(lsr.rank(snp, pool))*leaseGrace) {
-		lsr.take(ctx, pool)
+		lsr.acquire(ctx, pool)
 	}
 	if lsr.keeper.RenewalDue(pool) {
-		ctx, cancel := context.WithTimeout(ctx, takeTimeout)
+		ctx, cancel := context.WithTimeout(ctx, acquireTimeout)
 		defer cancel()
 		if err := lsr.keeper.Renew(ctx, pool); err != nil {
-			lsr.logger.WithField("pool", pool).WithError(err).Info("placement lease renewal may not be on the log")
+			lsr.logger.WithField("pool", pool).WithError(err).Info("placement lease renewal was not confirmed by the log")
 		}
 	}
 }
 
-// take appends a lease record and reads the leases, which alone tells whether it was accepted.
-func (lsr *leaser) take(ctx context.Context, pool string) {
-	ctx, cancel := context.WithTimeout(ctx, takeTimeout)
+// acquire appends a lease record and then reads the lease stream, because only its order of records decides which
+// daemon gets the lease.
+func (lsr *leaser) acquire(ctx context.Context, pool string) {
+	ctx, cancel := context.WithTimeout(ctx, acquireTimeout)
 	defer cancel()
 	log := lsr.logger.WithField("pool", pool)
 	if err := lsr.keeper.Take(ctx, pool); err != nil {
-		log.WithError(err).Info("placement lease record may not be on the log")
+		log.WithError(err).Info("placement lease record was not confirmed by the log")
 	}
 	if err := lsr.keeper.Follow(ctx, 0); err != nil {
 		log.WithError(err).Debug("leases could not be read")
 	}
 }
 
-// rank is this daemon's place in the pool's order, by rendezvous hashing of the VMs that the platform lists as
-// live. Those whose daemons are leaving or gone by gossip are left out, since the list lags.
+// rank returns the number of candidates that precede this daemon in the pool's order, which comes from rendezvous
+// hashing.
 func (lsr *leaser) rank(snp *blackboard.Snapshot, pool string) int {
 	lsr.mutex.Lock()
 	defer lsr.mutex.Unlock()
 	if lsr.ranks == nil || snp.At.Sub(lsr.rankedAt) >= rankInterval {
-		lsr.rankedAt, lsr.ranks, lsr.order = snp.At, map[string]int{}, order(snp)
+		lsr.rankedAt, lsr.ranks, lsr.candidates = snp.At, map[string]int{}, candidates(snp)
 	}
 	rank, ok := lsr.ranks[pool]
 	if !ok {
 		own := weight(pool, lsr.name)
-		for _, name := range lsr.order {
+		for _, name := range lsr.candidates {
 			if weight(pool, name) > own {
 				rank++
 			}
@@ -174,8 +178,9 @@
 	return rank
 }
 
-// order lists the daemons that may keep leases.
-func order(snp *blackboard.Snapshot) []string {
+// candidates returns the daemons that may hold leases: the VMs that the platform lists as live, without those whose
+// daemons are leaving or gone according to gossip, since the list lags behind.
+func candidates(snp *blackboard.Snapshot) []string {
 	out := map[string]bool{}
 	for _, mem := range snp.Members {
 		out[mem.Name] = mem.State == membership.StateGone || mem.State == membership.StateLeaving
--- a/daemon/leases_test.go
+++ b/daemon/leases_test.go
@@ -23,39 +23,39 @@
 	"papayacroft/provider"
 )
 
-// leasePeriod is the simulated time over which the bytes of leases are counted.
-// The default keeps the race detector's run short and sees no refresh of a lease; 10m sees two.
+// leasePeriod is the simulated time over which the bytes of lease traffic are counted. The default keeps a run under the
+// race detector short and includes no refresh of a lease; 10m includes two.
 var leasePeriod = flag.Duration("lease-period", 50*time.Second, "simulated time over which bytes of leases are counted")
 
 const (
 	testRetention = 24 * time.Hour
-	// responseHeaderBytes is the size of the headers of a response of the log stand-in.
+	// responseHeaderBytes is the size of the headers that the log stand-in sends with a response.
 	responseHeaderBytes = 120
 )
 
 var errLogDown = errors.New("log is down")
 
-// fakeLog is a log in memory that counts what each of its readers receives.
+// fakeLog is an in-memory log that all daemons of a fleet share; each of them uses it through a readerLog.
 type fakeLog struct {
 	mutex   sync.Mutex
 	streams map[string][]provider.Record
-	// changed holds, for each stream that someone waits for, a channel that the next append closes.
+	// changed holds, for each stream with waiting readers, a channel that the next append closes.
 	changed map[string]chan struct{}
 }
 
-// readerLog is the log as one daemon sees it.
+// readerLog is one daemon's access to the log; it counts the records and bytes that the daemon receives.
 type readerLog struct {
 	*fakeLog
 	records, bytes int
-	// off ends the daemon's appends and reads.
-	off bool
+	// down makes this daemon's appends and reads fail.
+	down bool
 }
 
 // Append adds a record.
 func (rlg *readerLog) Append(_ context.Context, stream string, body []byte) (int64, error) {
 	rlg.mutex.Lock()
 	defer rlg.mutex.Unlock()
-	if rlg.off {
+	if rlg.down {
 		return 0, errLogDown
 	}
 	offset := int64(len(rlg.streams[stream])) + 1
@@ -97,16 +97,16 @@
 	if rlg.changed[stream] == nil {
 		rlg.changed[stream] = make(chan struct{})
 	}
-	return provider.Batch{First: 1, Next: next, Records: rlg.streams[stream][min(max(from, 1), next)-1:]}, rlg.changed[stream], rlg.off
+	return provider.Batch{First: 1, Next: next, Records: rlg.streams[stream][min(max(from, 1), next)-1:]}, rlg.changed[stream], rlg.down
 }
 
-// fleet is a number of daemons that keep the leases of some pools.
+// fleet is a group of daemons that compete for the leases of some pools.
 type fleet struct {
 	log     *fakeLog
 	logs    []*readerLog
 	leasers []*leaser
 	pools   []string
-	// gone holds the daemons that gossip calls gone.
+	// gone holds the daemons that are gone according to gossip.
 	gone map[string]bool
 }
 
@@ -132,7 +132,7 @@
 			snapshot: func() *blackboard.Snapshot {
 				flt.log.mutex.Lock()
 				defer flt.log.mutex.Unlock()
-				// Ranks are worked out once a minute, which keeps the test fast.
+				// The coarse time makes each daemon compute its ranks only once a minute, which keeps the test fast.
 				snp := &blackboard.Snapshot{At: time.Now().Truncate(time.Minute), Index: idx, VMs: vms}
 				for name := range flt.gone {
 					snp.Members = append(snp.Members, membership.Member{Name: name, State: membership.StateGone})
@@ -144,10 +144,10 @@
 	return flt
 }
 
-// run starts every daemon within a second.
+// run starts the tasks of all daemons at random times within one second.
 func (flt *fleet) run(ctx context.Context) {
 	for _, lsr := range flt.leasers {
-		for _, task := range []func(context.Context){lsr.follow, lsr.watch, lsr.keep} {
+		for _, task := range []func(context.Context){lsr.follow, lsr.watch, lsr.maintain} {
 			go func() {
 				time.Sleep(rand.N(time.Second))
 				task(ctx)
@@ -156,7 +156,7 @@
 	}
 }
 
-// holder returns the daemon that holds a pool's lease, or -1; it fails if there are two.
+// holder returns the daemon that holds a pool's lease, or -1. It fails the test if a second holder may send orders.
 func (flt *fleet) holder(t *testing.T, pool string) int {
 	t.Helper()
 	holder := -1
@@ -171,7 +171,8 @@
 	return holder
 }
 
-// Guards against leases that take more of the control budget than 100 B/s of each daemon at the target size.
+// Guards against lease traffic of more than 100 B/s on average per daemon at 400 daemons and 32 pools. Each daemon reads
+// the lease stream, so that a shorter pause or larger records raise the traffic of all of them.
 func TestLeaseBytesAtTargetSize(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const daemons, pools, settle = 400, 32, time.Minute
@@ -207,8 +208,8 @@
 	})
 }
 
-// first returns the daemons that come first in a pool's order.
-func (flt *fleet) first(pool string, count int) []int {
+// lowestRanked returns the first daemons of a pool's order, up to the given count.
+func (flt *fleet) lowestRanked(pool string, count int) []int {
 	var first []int
 	for i, lsr := range flt.leasers {
 		if lsr.rank(lsr.snapshot(), pool) < count {
@@ -218,19 +219,20 @@
 	return first
 }
 
-// lose cuts the daemons off from the log; gossip calls them gone or goes on with them.
-func (flt *fleet) lose(daemons []int, gossip bool) {
+// cutOff makes the log fail for some daemons. With gossip, they also become gone; otherwise they stay live members.
+func (flt *fleet) cutOff(daemons []int, gossip bool) {
 	flt.log.mutex.Lock()
 	defer flt.log.mutex.Unlock()
 	for _, i := range daemons {
-		flt.logs[i].off = true
+		flt.logs[i].down = true
 		if gossip {
 			flt.gone[flt.leasers[i].name] = true
 		}
 	}
 }
 
-// awaitHolder returns the daemon that holds a pool's lease and is not one of the lost, within a time.
+// awaitHolder waits until a daemon other than the lost ones holds the pool's lease and returns it. It fails the test if
+// that takes longer than within.
 func (flt *fleet) awaitHolder(t *testing.T, pool string, lost []int, within time.Duration) int {
 	t.Helper()
 	started := time.Now()
@@ -247,11 +249,12 @@
 	}
 }
 
-// Guards against a pool without a holder after all daemons that read its renewals are lost together.
-func TestFirstFourLostTogether(t *testing.T) {
+// Guards against a pool that stays without a lease holder after all daemons that read its renewals fail together: the
+// remaining daemons read no renewals at that time, so that none would see the lease expire.
+func TestHolderAfterAllWatchersLost(t *testing.T) {
 	for _, tst := range []struct {
 		name string
-		// gossip is true if gossip calls the daemons gone; otherwise they live and are cut off from the log alone.
+		// gossip is true if the daemons are gone according to gossip; otherwise they live and only fail to reach the log.
 		gossip bool
 		within time.Duration
 	}{
@@ -265,11 +268,11 @@
 				flt.run(ctx)
 				time.Sleep(3 * time.Minute)
 				pool := flt.pools[0]
-				old, lost := flt.holder(t, pool), flt.first(pool, lease.Watchers)
+				old, lost := flt.holder(t, pool), flt.lowestRanked(pool, lease.Watchers)
 				if !slices.Contains(lost, old) {
 					t.Fatalf("got holder %d; want one of %v", old, lost)
 				}
-				flt.lose(lost, tst.gossip)
+				flt.cutOff(lost, tst.gossip)
 				next := flt.awaitHolder(t, pool, lost, tst.within)
 				time.Sleep(lease.Duration + lease.Margin + 2*time.Second)
 				if _, ok := flt.leasers[next].keeper.MayOrder(pool, false); !ok {
--- a/daemon/leaving.go
+++ b/daemon/leaving.go
@@ -18,38 +18,40 @@
 )
 
 const (
-	// methodLeaving is the peers' method that tells of a leaving endpoint.
+	// methodLeaving is the method between daemons that sends a notice of a leaving endpoint.
 	methodLeaving = "endpoint.leaving"
-	// leavingCheck is the time after which a sign on this daemon goes to peers.
-	leavingCheck = 100 * time.Millisecond
-	// returnCheck is the least time between two questions whether a leaving endpoint is back.
-	// It grows with the number of daemons, because all of them ask the same endpoint.
-	returnCheck          = 2 * time.Second
-	returnCheckPerMember = 25 * time.Millisecond
+	// leavingCheckInterval is the time between two checks of this daemon's own sources for leaving endpoints. It is
+	// also the greatest delay before a notice from these sources goes to peers.
+	leavingCheckInterval = 100 * time.Millisecond
+	// returnPollInterval is the mean time between two polls of a leaving endpoint that find out whether it is back.
+	// It is longer with many daemons, because all of them poll the same endpoint.
+	returnPollInterval  = 2 * time.Second
+	returnPollPerMember = 25 * time.Millisecond
 )
 
-// leavingWatch keeps new work from leaving endpoints on every daemon.
+// leavingWatch spreads notices of leaving endpoints to all daemons, so that none sends new work to these endpoints.
 //
-// An endpoint is leaving once it answers 503 with code leaving, or reports so, to any daemon, or once the
-// platform's list says so. It is back when a load report that is newer than the sign says that it isn't
-// leaving, and the list does not say that it is.
+// An endpoint is leaving once any daemon gets a 503 response with code leaving or a load report with the leaving flag
+// from it, or once the platform's list says so. It is back when a load report that is newer than the notice says
+// that it isn't leaving and the platform's list doesn't say that it is.
 type leavingWatch struct {
 	daemon *Daemon
-	// applied holds the time of the newest sign per endpoint.
+	// applied holds the time of the newest notice per endpoint.
 	applied map[string]time.Time
-	// asked holds the time at which a leaving endpoint is asked again.
-	asked map[string]time.Time
-	// listed holds the endpoints that the platform's list calls leaving.
+	// nextPoll holds the time of the next poll for each endpoint that was leaving at the last check.
+	nextPoll map[string]time.Time
+	// listed holds the endpoints that are leaving according to the platform's list.
 	listed atomic.Pointer[map[string]bool]
-	signs  chan membership.Notice
+	// received holds notices from peers that have not been applied yet.
+	received chan membership.Notice
 }
 
 func (dmn *Daemon) buildLeaving() {
 	wat := &leavingWatch{
-		daemon:  dmn,
-		applied: map[string]time.Time{},
-		asked:   map[string]time.Time{},
-		signs:   make(chan membership.Notice, 64),
+		daemon:   dmn,
+		applied:  map[string]time.Time{},
+		nextPoll: map[string]time.Time{},
+		received: make(chan membership.Notice, 64),
 	}
 	wat.listed.Store(&map[string]bool{})
 	report := dmn.entry.Endpoints.OnLoad
@@ -57,30 +59,30 @@
 		lod.Leaving = lod.Leaving || (*wat.listed.Load())[name]
 		report(name, lod)
 	}
-	dmn.peers.Handlers[methodLeaving] = wat.handle
+	dmn.peers.Handlers[methodLeaving] = wat.handleNotice
 	dmn.tasks = append(dmn.tasks, wat.run)
 }
 
-func (wat *leavingWatch) handle(ctx context.Context, params json.RawMessage) (any, error) {
+func (wat *leavingWatch) handleNotice(ctx context.Context, params json.RawMessage) (any, error) {
 	var ntc membership.Notice
 	if err := json.Unmarshal(params, &ntc); err != nil {
 		return nil, trace.BadParameter("notice is not valid: %v", err)
 	}
 	select {
-	case wat.signs <- ntc:
+	case wat.received <- ntc:
 	case <-ctx.Done():
 	}
 	return struct{}{}, nil
 }
 
 func (wat *leavingWatch) run(ctx context.Context) {
-	ticker := time.NewTicker(leavingCheck)
+	ticker := time.NewTicker(leavingCheckInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case ntc := <-wat.signs:
+		case ntc := <-wat.received:
 			wat.apply(ctx, time.Now(), ntc)
 		case <-ticker.C:
 			wat.check(ctx, time.Now())
@@ -88,7 +90,7 @@
 	}
 }
 
-// check looks for new signs and asks leaving endpoints whether they are back.
+// check applies new notices from the platform's list, gossip and the tracker, and polls leaving endpoints.
 func (wat *leavingWatch) check(ctx context.Context, now time.Time) {
 	if snp := wat.daemon.loop.Snapshot(); snp.Index != nil {
 		wat.checkSnapshot(ctx, now, snp)
@@ -113,22 +115,22 @@
 		if _, ok := wat.applied[name]; !ok || since.After(wat.applied[name]) && !wat.wasLeaving(name) {
 			wat.apply(ctx, now, membership.Notice{Endpoint: name, Since: since})
 		}
-		wat.ask(ctx, now, edp, len(snp.Members))
+		wat.pollReturn(ctx, now, edp, len(snp.Members))
 	}
-	for name := range wat.asked {
+	for name := range wat.nextPoll {
 		if wat.daemon.tracker.Status(name).LeavingSince.IsZero() {
-			delete(wat.asked, name)
+			delete(wat.nextPoll, name)
 		}
 	}
 }
 
-// wasLeaving reports whether the endpoint was leaving at the last check already.
+// wasLeaving reports whether the endpoint was already leaving at the last check.
 func (wat *leavingWatch) wasLeaving(name string) bool {
-	_, ok := wat.asked[name]
+	_, ok := wat.nextPoll[name]
 	return ok
 }
 
-// checkList takes in what the platform's list says of endpoints.
+// checkList marks the endpoints that the platform's list newly gives as leaving.
 func (wat *leavingWatch) checkList(now time.Time, snp *blackboard.Snapshot) {
 	leaving := map[string]bool{}
 	for _, vmm := range snp.VMs {
@@ -149,7 +151,8 @@
 	}
 }
 
-// apply notes a sign that is newer than the last one and passes it on.
+// apply marks the endpoint as leaving and forwards the notice, unless it isn't newer than the last notice of the
+// endpoint or a newer load report says that the endpoint isn't leaving.
 func (wat *leavingWatch) apply(ctx context.Context, now time.Time, ntc membership.Notice) {
 	if !ntc.Since.After(wat.applied[ntc.Endpoint]) {
 		return
@@ -159,17 +162,18 @@
 	if !lod.Leaving && lod.At.After(ntc.Since) {
 		return
 	}
-	// As a load report of the sign's time it outlasts reports that were made before.
+	// A load report with the notice's time makes the tracker ignore older reports, which would end the leaving state.
 	lod.At, lod.Leaving = ntc.Since, true
 	wat.daemon.tracker.Report(now, ntc.Endpoint, lod)
 	wat.daemon.tracker.Leaving(now, ntc.Endpoint)
 	wat.daemon.Logger.WithField("endpoint", ntc.Endpoint).WithField("since", ntc.Since).Info("endpoint is leaving")
-	wat.daemon.gossip.notice(now, ntc)
-	wat.tell(ctx, ntc)
+	wat.daemon.gossip.recordNotice(now, ntc)
+	wat.forward(ctx, ntc)
 }
 
-// tell sends a sign to some peers, which pass it on; regular exchanges repeat it for those that it misses.
-func (wat *leavingWatch) tell(ctx context.Context, ntc membership.Notice) {
+// forward sends a notice to some peers in the background, and these forward it too. Peers that it doesn't reach get the
+// notice through regular gossip exchanges.
+func (wat *leavingWatch) forward(ctx context.Context, ntc membership.Notice) {
 	go func() {
 		var grp errgroup.Group
 		for _, tgt := range wat.daemon.gossip.sample() {
@@ -178,24 +182,25 @@
 			})
 		}
 		if err := grp.Wait(); err != nil {
-			wat.daemon.Logger.WithError(err).Debug("a peer could not be told of a leaving endpoint")
+			wat.daemon.Logger.WithError(err).Debug("notice of a leaving endpoint not delivered to a peer")
 		}
 	}()
 }
 
-// ask gets a load report from a leaving endpoint now and then, because no other traffic brings one.
-func (wat *leavingWatch) ask(ctx context.Context, now time.Time, edp inventory.Endpoint, members int) {
-	interval := max(returnCheck, time.Duration(members)*returnCheckPerMember)
-	if at, ok := wat.asked[edp.Name]; ok && now.Before(at) {
+// pollReturn requests a load report from a leaving endpoint when its next poll is due. Without polls none would come,
+// because the endpoint gets no requests. The first call for an endpoint only sets the time of its first poll.
+func (wat *leavingWatch) pollReturn(ctx context.Context, now time.Time, edp inventory.Endpoint, members int) {
+	interval := max(returnPollInterval, time.Duration(members)*returnPollPerMember)
+	if at, ok := wat.nextPoll[edp.Name]; ok && now.Before(at) {
 		return
 	}
-	_, again := wat.asked[edp.Name]
-	wat.asked[edp.Name] = now.Add(interval/2 + rand.N(interval))
+	_, again := wat.nextPoll[edp.Name]
+	wat.nextPoll[edp.Name] = now.Add(interval/2 + rand.N(interval))
 	if !again {
 		return
 	}
 	go func() {
-		ctx, cancel := context.WithTimeout(ctx, returnCheck)
+		ctx, cancel := context.WithTimeout(ctx, returnPollInterval)
 		defer cancel()
 		// The report reaches the tracker through OnLoad.
 		_, _ = wat.daemon.entry.Endpoints.Load(ctx, endpoint.Target{Name: edp.Name, Address: edp.Address})
--- a/daemon/leaving_bench_test.go
+++ b/daemon/leaving_bench_test.go
@@ -12,7 +12,7 @@
 	"papayacroft/routing"
 )
 
-// Measures what looking for signs of leaving costs an idle daemon that knows 1,000 endpoints, ten times a second.
+// Measures one check for leaving endpoints on an idle daemon with 1,000 endpoints; daemons run ten checks a second.
 func BenchmarkLeavingCheck(b *testing.B) {
 	cfg := &inventory.Configuration{Endpoints: map[string]inventory.Endpoint{}}
 	dmn := &Daemon{tracker: routing.NewTracker()}
@@ -22,7 +22,7 @@
 		dmn.tracker.Report(time.Now(), name, endpoint.Load{At: time.Now()})
 	}
 	dmn.gossip = &gossip{daemon: dmn, table: membership.NewTable(time.Now(), membership.Member{})}
-	wat := &leavingWatch{daemon: dmn, applied: map[string]time.Time{}, asked: map[string]time.Time{}}
+	wat := &leavingWatch{daemon: dmn, applied: map[string]time.Time{}, nextPoll: map[string]time.Time{}}
 	wat.listed.Store(&map[string]bool{})
 	snp := &blackboard.Snapshot{Index: inventory.NewIndex(cfg)}
 	for b.Loop() {
--- a/daemon/limits.go
+++ b/daemon/limits.go
@@ -2,7 +2,7 @@
 
 import "papayacroft/limit"
 
-// buildLimits sets up limits of teams and organisations.
+// buildLimits sets up the limits of teams and organisations, which daemons share.
 func (dmn *Daemon) buildLimits() {
 	agt := limit.NewAgent(dmn.incarnation)
 	agt.Peers = dmn.peerClient
--- a/daemon/membership.go
+++ b/daemon/membership.go
@@ -16,18 +16,19 @@
 )
 
 const (
-	// tellAtOnce is the number of peers that hear of a change before the next regular exchange.
-	tellAtOnce = 8
-	// exchangeJitter keeps daemons that started together from exchanging at the same moment.
+	// immediateFanout is the number of peers to which an urgent change is sent at once, ahead of the next regular
+	// exchange.
+	immediateFanout = 8
+	// exchangeJitter spreads the exchanges of daemons that started at the same time.
 	exchangeJitter = 200 * time.Millisecond
 )
 
-// gossip connects the membership table with peers and the blackboard.
+// gossip runs the exchanges of the membership table with peers and copies data between the table and the blackboard.
 type gossip struct {
 	daemon *Daemon
-	// announce wakes the sender after this daemon began to drain.
+	// announce makes run exchange with several peers at once after this daemon began to drain.
 	announce chan struct{}
-	// sources receives peers that may have a newer configuration.
+	// sources receives peers that may have a newer configuration; fetchFromPeers reads it.
 	sources chan source
 
 	exchanges atomic.Int64
@@ -39,7 +40,7 @@
 	vmsReadAt time.Time
 }
 
-// buildMembership sets up gossip between daemons.
+// buildMembership sets up gossip between daemons and what depends on it: configuration transfer and leavingWatch.
 func (dmn *Daemon) buildMembership() {
 	set := dmn.Settings
 	gsp := &gossip{
@@ -61,7 +62,8 @@
 	dmn.buildLeaving()
 }
 
-// Step brings the board's inputs into the table and the members onto the board.
+// Step copies the version in force, the VM list and the start of a drain from the board into the table, and the members
+// and the version floor from the table onto the board.
 func (gsp *gossip) Step(now time.Time, brd *blackboard.Board) {
 	gsp.mutex.Lock()
 	defer gsp.mutex.Unlock()
@@ -83,7 +85,7 @@
 	brd.VersionFloor = gsp.table.Former()
 }
 
-// run begins one exchange a second, and several at once when this daemon starts to drain.
+// run exchanges with one peer at each interval, and with several at once when this daemon starts to drain.
 func (gsp *gossip) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		timer := time.NewTimer(membership.ExchangeInterval - exchangeJitter/2 + rand.N(exchangeJitter))
@@ -113,7 +115,7 @@
 func (gsp *gossip) sample() []membership.Target {
 	gsp.mutex.Lock()
 	defer gsp.mutex.Unlock()
-	return gsp.table.Sample(gsp.rnd, tellAtOnce)
+	return gsp.table.Sample(gsp.rnd, immediateFanout)
 }
 
 func (gsp *gossip) notices() []membership.Notice {
@@ -122,13 +124,13 @@
 	return gsp.table.Notices()
 }
 
-func (gsp *gossip) notice(now time.Time, ntc membership.Notice) {
+func (gsp *gossip) recordNotice(now time.Time, ntc membership.Notice) {
 	gsp.mutex.Lock()
 	defer gsp.mutex.Unlock()
 	gsp.table.Notice(now, ntc)
 }
 
-// over reports whether an organisation's owner sees it near or over its limit.
+// over reports whether gossip says that an organisation is near or over its limit, which its owner decides.
 func (gsp *gossip) over(organisation string) bool {
 	gsp.mutex.Lock()
 	defer gsp.mutex.Unlock()
@@ -165,7 +167,7 @@
 	gsp.fetchList(ctx, tgt, reply)
 }
 
-// fetchList asks a peer for the members that this daemon lacks, if its message shows that there are many.
+// fetchList fetches the members that this daemon lacks from a peer, if the peer's message shows that it has many more.
 func (gsp *gossip) fetchList(ctx context.Context, tgt membership.Target, msg membership.Message) {
 	now := time.Now()
 	gsp.mutex.Lock()
@@ -186,7 +188,7 @@
 		err = gsp.table.ReceiveList(time.Now(), reply)
 	}
 	if err != nil {
-		gsp.daemon.Logger.WithField("peer", tgt.Name).WithError(err).Debug("members could not be listed")
+		gsp.daemon.Logger.WithField("peer", tgt.Name).WithError(err).Debug("member list could not be fetched")
 	}
 }
 
@@ -200,7 +202,8 @@
 	return gsp.table.List(req)
 }
 
-// receive merges a message and notes a peer that has a newer configuration.
+// receive merges a message into the table. It queues the sender as a source if the sender's configuration is newer or
+// this daemon waits for a configuration snapshot.
 func (gsp *gossip) receive(msg membership.Message) {
 	gsp.mutex.Lock()
 	gsp.table.Receive(time.Now(), msg)
--- a/daemon/metrics.go
+++ b/daemon/metrics.go
@@ -7,7 +7,7 @@
 	"papayacroft/metrics"
 )
 
-// buildMetrics registers what is read from the newest snapshot.
+// buildMetrics registers the metrics that are computed from the newest snapshot and the traffic counters when scraped.
 func (dmn *Daemon) buildMetrics() {
 	dmn.metrics = metrics.NewMetrics()
 	dmn.metrics.Gauge("configuration_version", "Version of the configuration in force; 0 without one.", func() float64 {
--- a/daemon/notice.go
+++ b/daemon/notice.go
@@ -12,15 +12,16 @@
 	"papayacroft/inventory"
 )
 
-// noticeCheck reports service classes whose calls a planned stop can cut short.
-type noticeCheck struct {
+// deadlineCheck logs a warning for each service class with a deadline so long that a planned stop of the daemon can
+// end its calls early.
+type deadlineCheck struct {
 	notice  time.Duration
 	logger  logrus.FieldLogger
 	version int64
 }
 
-// Step checks each version once.
-func (nch *noticeCheck) Step(_ time.Time, brd *blackboard.Board) {
+// Step checks each configuration version once.
+func (nch *deadlineCheck) Step(_ time.Time, brd *blackboard.Board) {
 	if brd.Index == nil || brd.InForce.Number == nch.version {
 		return
 	}
@@ -28,16 +29,17 @@
 	for _, cls := range longClasses(brd.Index.Configuration, nch.notice) {
 		nch.logger.WithFields(logrus.Fields{
 			"class": cls.Name, "deadline": time.Duration(cls.Deadline), "notice": nch.notice, "allowed": allowedDeadline(nch.notice),
-		}).Warn("the class's deadline is longer than the notice allows; a planned stop may end its calls early")
+		}).Warn("the class's deadline is longer than the drain notice allows; a planned stop may end its calls early")
 	}
 }
 
-// allowedDeadline is the time that the last call taken by a draining daemon has.
+// allowedDeadline returns the longest deadline that a planned stop leaves room for: the time between the last request
+// that a draining daemon accepts and the end of open responses.
 func allowedDeadline(notice time.Duration) time.Duration {
 	return notice - entry.DrainGrace - endMargin(notice)
 }
 
-// longClasses returns the classes of services whose deadline is longer than a planned stop allows, by name.
+// longClasses returns the service classes whose deadline is longer than a planned stop allows, sorted by name.
 func longClasses(cfg *inventory.Configuration, notice time.Duration) []inventory.Class {
 	var classes []inventory.Class
 	for _, pool := range cfg.Pools {
--- a/daemon/placement.go
+++ b/daemon/placement.go
@@ -19,27 +19,29 @@
 const (
 	placementInterval = time.Second
 	pollTimeout       = time.Second
-	// reportAge is the age after which the lease holder asks an idle engine for its report.
+	// reportAge is the age of the last load report, and the time since the last poll, after which the lease holder polls
+	// an engine.
 	reportAge = 5 * time.Second
-	// lostAfter is the time without a report after which an engine that cannot be reached counts as lost.
+	// lostAfter is the age of the last load report beyond which an engine whose calls fail is treated as lost.
 	lostAfter = 10 * time.Second
-	// pollsPerStep bounds the holder's polls; a poll takes about 500 B, so three a second stay within 2 KB/s.
+	// pollsPerStep limits the polls of one step, which runs each second. A poll takes about 500 B, so that three stay
+	// within the 2 KB/s that a daemon may use for control traffic.
 	pollsPerStep = 3
 )
 
-// placer orders the engines of the pools whose leases this daemon holds.
+// placer sends placement orders to the engines of the pools whose leases this daemon holds.
 type placer struct {
 	daemon    *Daemon
 	keeper    *lease.Keeper
 	endpoints *endpoint.Client
 	store     placement.Store
 	asked     *placement.Asked
-	// polls is the number of polls left in this step, for all pools together.
+	// polls is the number of polls that this step may still send, for all pools together.
 	polls int
 	pools map[string]*poolPlacer
 }
 
-// poolPlacer is what the holder remembers of one pool.
+// poolPlacer is the state that a lease holder keeps for one pool; it is dropped with the lease.
 type poolPlacer struct {
 	executor *placement.Executor
 	demand   *placement.Demand
@@ -49,7 +51,8 @@
 	reports  map[string]report
 }
 
-// report is an engine's last load report; its age is told by this daemon's clock, since engines' clocks may differ.
+// report holds the times of an engine's last load report by the engine's clock (at) and by this daemon's clock
+// (receivedAt). Its age is computed from receivedAt, because engines' clocks may differ.
 type report struct {
 	at         time.Time
 	receivedAt time.Time
@@ -66,10 +69,10 @@
 	if url := dmn.Settings.Platform.WeightsURL; url != "" {
 		plc.store = provider.NewHTTPWeightStore(url)
 	}
-	dmn.tasks = append(dmn.tasks, lsr.follow, lsr.watch, lsr.keep, plc.run)
+	dmn.tasks = append(dmn.tasks, lsr.follow, lsr.watch, lsr.maintain, plc.run)
 }
 
-// run carries out one plan per pool and interval.
+// run executes one plan per pool at each interval.
 func (plc *placer) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		snp := plc.daemon.loop.Snapshot()
@@ -81,7 +84,7 @@
 	}
 }
 
-// enginePools lists the pools in random order, so that each gets its share of the polls.
+// enginePools returns the pools of engines in random order, so that none of them always gets the polls of a step first.
 func enginePools(snp *blackboard.Snapshot) []string {
 	if snp.Index == nil {
 		return nil
@@ -95,7 +98,7 @@
 	return names
 }
 
-// step sends the orders of one plan while the pool's lease is held.
+// step makes a plan for one pool and sends its orders, if this daemon holds the pool's lease.
 func (plc *placer) step(ctx context.Context, snp *blackboard.Snapshot, name string, pol inventory.Pool) {
 	if !plc.keeper.Holds(name) {
 		delete(plc.pools, name)
@@ -114,7 +117,7 @@
 	plc.poll(ctx, pps, endpoints)
 	now := time.Now()
 	vew := plc.view(now, snp, pps, pol, endpoints)
-	if !pps.known(vew) {
+	if !pps.readyToPlan(vew) {
 		return
 	}
 	for _, mov := range placement.Plan(now, vew) {
@@ -130,9 +133,9 @@
 	}
 }
 
-// known reports whether each engine has sent a report or was asked for one.
-// Before that, a model whose engines have not reported would seem to lack engines.
-func (pps *poolPlacer) known(vew placement.View) bool {
+// readyToPlan reports whether each engine that isn't lost has sent a load report or was polled for one.
+// Before that, a model would seem to lack engines only because its engines have not reported yet.
+func (pps *poolPlacer) readyToPlan(vew placement.View) bool {
 	return !slices.ContainsFunc(vew.Engines, func(eng placement.Engine) bool {
 		return !eng.Reported && !eng.Lost && pps.polledAt[eng.Name].IsZero()
 	})
@@ -149,7 +152,8 @@
 	}
 }
 
-// poll asks engines whose reports have grown old, as far as the step's polls reach.
+// poll requests load reports from engines whose last report is older than reportAge, those that were not polled for
+// longest first, until the polls of the step are used up.
 func (plc *placer) poll(ctx context.Context, pps *poolPlacer, endpoints []inventory.Endpoint) {
 	if plc.polls == 0 {
 		return
@@ -175,7 +179,7 @@
 	}
 }
 
-// view collects what a plan needs from the configuration, the reports and the orders sent.
+// view collects the input of a plan from the configuration, the load reports and the orders sent.
 func (plc *placer) view(now time.Time, snp *blackboard.Snapshot, pps *poolPlacer, pol inventory.Pool, endpoints []inventory.Endpoint) placement.View {
 	var vew placement.View
 	raw := map[string]float64{}
@@ -216,7 +220,7 @@
 	return pps.reports[name].receivedAt
 }
 
-// lost reports whether placement should not count on an engine any more.
+// lost reports whether a plan must do without the engine because it is unreachable, leaving or draining.
 func lost(now time.Time, edp inventory.Endpoint, sta routing.EndpointStatus, reportedAt time.Time) bool {
 	unreachable := sta.FailedAt.After(reportedAt) && now.Sub(reportedAt) > lostAfter
 	return unreachable || !sta.LeavingSince.IsZero() || edp.State == inventory.EndpointDraining
--- a/daemon/placement_test.go
+++ b/daemon/placement_test.go
@@ -13,7 +13,8 @@
 	"papayacroft/routing"
 )
 
-// Guards against moves after one failed call, and against engines that stay counted on after they are gone.
+// Guards against an engine that is treated as lost after one failed call, so that its model moves, and against an engine
+// that is gone but still planned with.
 func TestLostEngine(t *testing.T) {
 	now := time.Unix(1000, 0)
 	for _, tst := range []struct {
@@ -38,20 +39,20 @@
 	}
 }
 
-// Guards against a new lease holder that moves engines before it knows what the others have.
+// Guards against a new lease holder that reassigns engines before all of them have reported which models they have.
 func TestPlanWaitsForReports(t *testing.T) {
 	pps := &poolPlacer{polledAt: map[string]time.Time{}}
 	vew := placement.View{Engines: []placement.Engine{{Name: "a", Reported: true}, {Name: "b"}, {Name: "c", Lost: true}}}
-	if pps.known(vew) {
+	if pps.readyToPlan(vew) {
 		t.Error("got a known pool before engine b was asked; want none")
 	}
 	pps.polledAt["b"] = time.Unix(1000, 0)
-	if !pps.known(vew) {
+	if !pps.readyToPlan(vew) {
 		t.Error("got an unknown pool after engine b was asked; want it known")
 	}
 }
 
-// Guards against ages that depend on engines' clocks.
+// Guards against ages of load reports that are computed from the engine's clock, which may differ from the daemon's.
 func TestReportAgeByOwnClock(t *testing.T) {
 	pps := &poolPlacer{reports: map[string]report{}}
 	now := time.Unix(1000, 0)
@@ -63,7 +64,8 @@
 	}
 }
 
-// Guards against a holder of many pools that polls each of them at the full rate and exceeds its bandwidth.
+// Guards against a holder of many leases that applies the limit on polls to each pool instead of to all pools together,
+// and so exceeds its budget for control traffic.
 func TestPollsAreBoundedForAllPools(t *testing.T) {
 	var polled atomic.Int64
 	srv := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { polled.Add(1) }))
--- a/daemon/quarantine.go
+++ b/daemon/quarantine.go
@@ -15,49 +15,51 @@
 
 const (
 	quarantineMethod = "quarantine.report"
-	// reportBuffer bounds the reports that wait to be sent; more are dropped and relearnt by the next crash.
+	// reportBuffer is the number of reports that can wait to be sent. Further ones are dropped; the next crash that the
+	// request causes produces a new report.
 	reportBuffer = 256
-	// reportWait bounds how long a request that ran on a crashed endpoint waits for its reports to reach the other
-	// daemons; without it the caller's next try at another daemon overtook them and crashed a third engine.
+	// reportWait is the longest time for which a request that ran on a crashed endpoint waits until the reports reach the
+	// other daemons. Without it, the caller's retry at another daemon overtook the reports and crashed a third engine.
 	reportWait = 300 * time.Millisecond
 )
 
-// quarantineReply answers a report.
+// quarantineReply is the response to a report.
 type quarantineReply struct {
-	// Busy is true if the daemon has runs on the endpoint.
+	// Busy is true if requests of the responding daemon run on the endpoint.
 	Busy bool `json:"busy,omitempty"`
 }
 
-// quarantine guards the state machine and shares its reports with the other daemons.
+// quarantine makes the state machine safe for concurrent use and sends its reports to the other daemons.
 type quarantine struct {
 	mutex sync.Mutex
 	state *retry.Quarantine
-	// reports are sent one after another, so that a late one can't undo a newer one.
-	reports chan outgoing
+	// reports are sent one after another, so that an older report can't arrive after a newer one and override it.
+	reports chan queuedReport
 }
 
-// outgoing is a report to all other daemons.
-type outgoing struct {
+// queuedReport is a report that waits to be sent to all other daemons.
+type queuedReport struct {
 	retry.Report
-	// idle receives, once each daemon has answered or failed, whether all said that they have no run on the endpoint.
+	// idle receives one value once each daemon has responded or failed: true if all of them responded that they have no
+	// run on the endpoint.
 	idle chan bool
 }
 
-func newOutgoing(rep retry.Report) outgoing {
-	return outgoing{rep, make(chan bool, 1)}
+func newQueuedReport(rep retry.Report) queuedReport {
+	return queuedReport{rep, make(chan bool, 1)}
 }
 
-// buildQuarantine sets up retry budgets and the quarantine of requests that crash endpoints.
+// buildQuarantine sets up retry budgets, and the quarantine, which refuses requests that crash endpoints.
 func (dmn *Daemon) buildQuarantine() {
-	qua := &quarantine{state: retry.NewQuarantine(), reports: make(chan outgoing, reportBuffer)}
+	qua := &quarantine{state: retry.NewQuarantine(), reports: make(chan queuedReport, reportBuffer)}
 	dmn.entry.Retries = retry.NewBudgets()
 	dmn.entry.Quarantine = qua
 	dmn.peers.Handlers[quarantineMethod] = qua.receive
 	dmn.tasks = append(dmn.tasks, func(ctx context.Context) { dmn.sendReports(ctx, qua.reports) })
 }
 
-// sendReports sends each report to every other daemon.
-func (dmn *Daemon) sendReports(ctx context.Context, reports <-chan outgoing) {
+// sendReports sends each queued report to every other daemon, one report after another.
+func (dmn *Daemon) sendReports(ctx context.Context, reports <-chan queuedReport) {
 	for {
 		select {
 		case rep := <-reports:
@@ -68,10 +70,11 @@
 	}
 }
 
-// sendReport sends one report and returns true if every other daemon has answered that it has no run on the endpoint.
+// sendReport sends one report and returns true if every other daemon responds that it has no run on the endpoint.
+// A daemon that doesn't respond counts as busy.
 func (dmn *Daemon) sendReport(ctx context.Context, rep retry.Report) (idle bool) {
 	dmn.Logger.WithField("digest", rep.Digest).WithField("endpoint", rep.Endpoint).WithField("verdict", rep.Verdict).Info("quarantine report")
-	ctx, cancel := context.WithTimeout(ctx, askTimeout)
+	ctx, cancel := context.WithTimeout(ctx, confirmTimeout)
 	defer cancel()
 	var wgr sync.WaitGroup
 	var busy atomic.Bool
@@ -107,10 +110,11 @@
 	return quarantineReply{Busy: qua.state.Busy(rep.Endpoint)}, nil
 }
 
-// share queues reports and never waits, since traffic goroutines call it. It returns the last one that found room.
-func (qua *quarantine) share(reports []retry.Report) (last *outgoing) {
+// enqueue queues reports for sending and returns the last one that fitted into the queue. It never blocks, because
+// the goroutines that serve requests call it.
+func (qua *quarantine) enqueue(reports []retry.Report) (last *queuedReport) {
 	for _, rep := range reports {
-		out := newOutgoing(rep)
+		out := newQueuedReport(rep)
 		select {
 		case qua.reports <- out:
 			last = &out
@@ -120,66 +124,69 @@
 	return last
 }
 
-// Condemned returns the time until which a request is refused.
+// Condemned returns the time until which a request is refused, and whether it is refused now.
 func (qua *quarantine) Condemned(digest string) (time.Time, bool) {
 	qua.mutex.Lock()
 	defer qua.mutex.Unlock()
 	return qua.state.Condemned(time.Now(), digest)
 }
 
-// Suspect reports whether a request must run apart from other suspects.
+// Suspect reports whether a request is a suspect: it ran on an endpoint that crashed and must not share an endpoint
+// with another suspect.
 func (qua *quarantine) Suspect(digest string) bool {
 	qua.mutex.Lock()
 	defer qua.mutex.Unlock()
 	return qua.state.Suspect(time.Now(), digest)
 }
 
-// Occupied lists the endpoints that hold another suspect.
+// Occupied returns the endpoints on which another suspect runs.
 func (qua *quarantine) Occupied(digest string) []string {
 	qua.mutex.Lock()
 	defer qua.mutex.Unlock()
 	return qua.state.Occupied(time.Now(), digest)
 }
 
-// Closed holds the endpoints that a suspect has to itself.
+// Closed returns the endpoints that are reserved for one suspect, so that no other request may start there.
 func (qua *quarantine) Closed() map[string]bool {
 	qua.mutex.Lock()
 	defer qua.mutex.Unlock()
 	return qua.state.Closed(time.Now())
 }
 
-// Begin notes a run and refuses to put it beside a suspect that has the endpoint to itself, or a second suspect there.
+// Begin records a run before it starts. It returns false, and the run must not start, if the endpoint is reserved for a
+// suspect, or if the request is a suspect and another suspect runs on the endpoint.
 func (qua *quarantine) Begin(id, digest, endpoint string) bool {
 	qua.mutex.Lock()
 	defer qua.mutex.Unlock()
 	return qua.state.Begin(time.Now(), id, digest, endpoint)
 }
 
-// Attach notes a run that was started before.
+// Attach records a run that this daemon or another one has started before.
 func (qua *quarantine) Attach(id, digest, endpoint string) {
 	qua.mutex.Lock()
 	defer qua.mutex.Unlock()
-	qua.share(qua.state.Attach(time.Now(), id, digest, endpoint))
+	qua.enqueue(qua.state.Attach(time.Now(), id, digest, endpoint))
 }
 
-// Complete clears the request of a run that ended with its answer.
+// Complete ends a run that returned its whole response; its request is not a suspect any more.
 func (qua *quarantine) Complete(id string) {
 	qua.mutex.Lock()
 	defer qua.mutex.Unlock()
-	qua.share(qua.state.Complete(time.Now(), id))
+	qua.enqueue(qua.state.Complete(time.Now(), id))
 }
 
-// Leave forgets a run.
+// Leave removes a run that ended without a response and without a crash.
 func (qua *quarantine) Leave(id string) {
 	qua.mutex.Lock()
 	defer qua.mutex.Unlock()
-	qua.share(qua.state.Leave(time.Now(), id))
+	qua.enqueue(qua.state.Leave(time.Now(), id))
 }
 
-// Crash judges the runs on a crashed endpoint and waits a moment for the other daemons to hear of it.
+// Crash marks the requests that ran on a crashed endpoint as suspects, or condemns a suspect that ran there alone.
+// It waits up to reportWait until the other daemons have received the reports.
 func (qua *quarantine) Crash(id string, brokenAt time.Time) {
 	qua.mutex.Lock()
-	last := qua.share(qua.state.Crash(time.Now(), id, brokenAt))
+	last := qua.enqueue(qua.state.Crash(time.Now(), id, brokenAt))
 	qua.mutex.Unlock()
 	if last == nil {
 		return
--- a/daemon/quarantine_test.go
+++ b/daemon/quarantine_test.go
@@ -19,7 +19,7 @@
 
 func (mem setMembers) Apply(_ time.Time, brd *blackboard.Board) { brd.Members = mem }
 
-func quarantineDaemon(t *testing.T) (dmn *Daemon, address string) {
+func startQuarantineDaemon(t *testing.T) (dmn *Daemon, address string) {
 	t.Helper()
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -41,10 +41,11 @@
 	return dmn, lis.Addr().String()
 }
 
-// Guards against a request that crashes two engines through each daemon, because daemons do not share what they learnt.
+// Guards against a request that crashes two engines through each daemon. That happens if a daemon doesn't send its
+// quarantine reports to the other daemons.
 func TestDaemonsShareQuarantine(t *testing.T) {
-	one, address := quarantineDaemon(t)
-	two, otherAddress := quarantineDaemon(t)
+	one, address := startQuarantineDaemon(t)
+	two, otherAddress := startQuarantineDaemon(t)
 	one.loop.Send(t.Context(), setMembers{
 		{Name: "one", Address: address, Incarnation: one.incarnation, State: membership.StateLive},
 		{Name: "two", Address: otherAddress, Incarnation: two.incarnation, State: membership.StateLive},
@@ -56,7 +57,7 @@
 		if !one.entry.Quarantine.Begin(engine, "poison", engine) {
 			t.Fatalf("got begin on %s refused", engine)
 		}
-		// The other daemon answers that the engine is idle.
+		// The other daemon responds to the report that it has no run on the engine.
 		if !one.entry.Quarantine.Confirm(t.Context(), engine, 1, func(context.Context) bool { return true }) {
 			t.Fatalf("got no trial on %s", engine)
 		}
--- a/daemon/relay.go
+++ b/daemon/relay.go
@@ -14,11 +14,11 @@
 )
 
 const (
-	// fetchGrace lets a record that a peer read a moment earlier arrive from the log.
+	// fetchGrace is a delay before a fetch, in which the record that a peer has already read may arrive from the log.
 	fetchGrace = 200 * time.Millisecond
-	// fetchTimeout allows for a snapshot of 6,200 organisations over a slow link.
+	// fetchTimeout is long enough for a snapshot with 6,200 organisations over a slow link.
 	fetchTimeout = 3 * time.Second
-	// snapshotTimeout bounds the append of a snapshot.
+	// snapshotTimeout limits the append of a snapshot to the log.
 	snapshotTimeout = 5 * time.Second
 )
 
@@ -29,7 +29,7 @@
 	version int64
 }
 
-// handleFetch answers a peer that is behind.
+// handleFetch sends the configuration to a peer that lacks records or has an older version.
 func (dmn *Daemon) handleFetch(_ context.Context, params json.RawMessage) (any, error) {
 	var req configuration.FetchRequest
 	if err := json.Unmarshal(params, &req); err != nil {
@@ -38,7 +38,7 @@
 	return dmn.loop.Snapshot().Transfer.Answer(req)
 }
 
-// fetchFromPeers gets versions that the log has not delivered.
+// fetchFromPeers fetches configuration versions from peers that this daemon has not read from the log yet.
 func (dmn *Daemon) fetchFromPeers(ctx context.Context) {
 	for ctx.Err() == nil {
 		select {
@@ -66,7 +66,7 @@
 	dmn.loop.Send(ctx, blackboard.PeerConfiguration{Peer: src.name, Reply: &reply, Logger: dmn.Logger})
 }
 
-// snapshotter appends snapshots so that the configuration never expires from the log.
+// snapshotter appends a configuration snapshot to the log before the records that make up the configuration expire.
 type snapshotter struct {
 	daemon    *Daemon
 	schedule  configuration.Schedule
@@ -80,7 +80,7 @@
 	}}
 }
 
-// Step appends in the background when a snapshot is due.
+// Step appends a snapshot in the background when one is due and no append is in progress.
 func (snt *snapshotter) Step(now time.Time, brd *blackboard.Board) {
 	due := !snt.appending.Load() && brd.LogError == "" && brd.Configuration.SnapshotDue(now, snt.schedule.Retention)
 	if !snt.schedule.Step(now, due) {
--- a/daemon/trial.go
+++ b/daemon/trial.go
@@ -8,16 +8,18 @@
 )
 
 const (
-	// askTimeout bounds the question to the other daemons and the endpoint before a suspect starts.
-	askTimeout = 500 * time.Millisecond
-	// trialPause is the time between two questions to an endpoint while a suspect waits for it; one takes about 600 bytes
-	// of the control budget of 2 KB/s.
-	trialPause = time.Second
-	// renewInterval is the time after which the members are asked again to keep the endpoint closed.
+	// confirmTimeout limits the requests to the other daemons and the endpoint that find out whether the endpoint is idle.
+	confirmTimeout = 500 * time.Millisecond
+	// idlePollInterval is the time between two polls of an endpoint while a suspect waits for it to become idle. A poll
+	// takes about 600 bytes of the 2 KB/s that a daemon may use for control traffic.
+	idlePollInterval = time.Second
+	// renewInterval is the time after which the other daemons are asked again to start nothing on the endpoint.
 	renewInterval = retry.ClosedTime / 2
 )
 
-// Confirm finds out whether a suspect's run has its endpoint to itself, and waits for that if it must.
+// Confirm decides whether a suspect's run may start on its endpoint: alone on an idle endpoint, or shared with other
+// requests if the state machine allows that. Otherwise it waits until the endpoint may be idle and tries again.
+// It returns false if the context ends before.
 func (qua *quarantine) Confirm(ctx context.Context, id string, maxClosed int, idle func(ctx context.Context) bool) bool {
 	for {
 		trial, rep := qua.try(id, maxClosed)
@@ -34,16 +36,16 @@
 	}
 }
 
-// awaitIdle waits until the endpoint says that it is idle, or the members must be asked again, and returns false if the
-// context ends before. The members are not asked meanwhile, since a question goes to all of them.
+// awaitIdle waits until the endpoint reports that it is idle or the other daemons must be asked again, and returns false
+// if the context ends before. It polls only the endpoint, because a request to the daemons goes to all of them.
 func awaitIdle(ctx context.Context, idle func(ctx context.Context) bool) bool {
 	renew := time.Now().Add(renewInterval)
 	for {
-		sleep(ctx, trialPause)
+		sleep(ctx, idlePollInterval)
 		if ctx.Err() != nil {
 			return false
 		}
-		ask, cancel := context.WithTimeout(ctx, askTimeout)
+		ask, cancel := context.WithTimeout(ctx, confirmTimeout)
 		free := idle(ask)
 		cancel()
 		if free || time.Now().After(renew) {
@@ -52,11 +54,12 @@
 	}
 }
 
-// isIdle asks the other daemons first, which start nothing more on the endpoint once they have answered.
+// isIdle reports whether neither the other daemons nor the endpoint itself have requests running on it. The daemons are
+// asked first: once they have responded they start nothing more on the endpoint, so that its own reply stays true.
 func (qua *quarantine) isIdle(ctx context.Context, rep retry.Report, idle func(ctx context.Context) bool) bool {
-	ctx, cancel := context.WithTimeout(ctx, askTimeout)
+	ctx, cancel := context.WithTimeout(ctx, confirmTimeout)
 	defer cancel()
-	out := newOutgoing(rep)
+	out := newQueuedReport(rep)
 	select {
 	case qua.reports <- out:
 	case <-ctx.Done():
@@ -75,7 +78,7 @@
 	defer qua.mutex.Unlock()
 	trial, rep := qua.state.Try(time.Now(), id, maxClosed)
 	if trial == retry.TrialShared {
-		qua.share([]retry.Report{rep})
+		qua.enqueue([]retry.Report{rep})
 	}
 	return trial, rep
 }
@@ -85,7 +88,7 @@
 	defer qua.mutex.Unlock()
 	trial, rep := qua.state.Settle(id, idle)
 	if trial == retry.TrialShared {
-		qua.share([]retry.Report{rep})
+		qua.enqueue([]retry.Report{rep})
 	}
 	return trial
 }
