--- a/soak/caller.go
+++ b/soak/caller.go
@@ -15,45 +15,49 @@
 )
 
 const (
-	// callDeadline is how long callers wait.
+	// callDeadline is the time after which a caller gives up its call; it is also the timeout of the routes.
 	callDeadline = 8 * time.Second
-	// maxPause is the longest time between two calls of a caller.
+	// maxPause is the longest pause between two calls of a caller.
 	maxPause = 250 * time.Millisecond
-	// leaveShare is the part of the streams whose caller leaves early.
-	leaveShare = 0.08
-	maxEvents  = 150
+	// abandonShare is the share of streams that the caller abandons before their end.
+	abandonShare = 0.08
+	maxEvents    = 150
 )
 
 var routes = []string{"once", "again", "long", "short"}
 
-// call is one attempt of a caller and what came of it.
+// call is one request of a caller with its result.
 type call struct {
 	id, route, key string
 	daemon         *daemon
 	sent, ended    time.Time
 	status         int
 	body           string
-	// events are the ids of the events that came, wanted is how many were asked for.
-	events    []int
-	wanted    int
-	foreign   bool
-	whole     bool
-	left      bool
+	// events are the ids of the events received; wanted is the number of events requested.
+	events []int
+	wanted int
+	// foreign is true if an event has a malformed id or belongs to another request.
+	foreign bool
+	// complete is true if the response was read to its end without an error.
+	complete bool
+	// abandoned is true if the caller cancels the call after a random time, which is mostly before its stream ends.
+	abandoned bool
 	err       error
 	signature string
 }
 
-// isStream reports whether the answer is a stream.
+// isStream reports whether the route responds with a stream of events.
 func (cal *call) isStream() bool {
 	return cal.route == "long" || cal.route == "short"
 }
 
-// repeatable reports whether the request may run more than once.
+// repeatable reports whether a daemon may send the request to an endpoint again after a failure.
 func (cal *call) repeatable() bool {
 	return cal.route == "again" || cal.route == "short"
 }
 
-// runCaller calls daemons one call after the other; it keeps its connection until that fails.
+// runCaller sends one call after another to a daemon, over one connection. It chooses another daemon after an error or
+// a 503 response.
 func (wld *world) runCaller(ctx context.Context, number uint64) {
 	rnd := rand.New(rand.NewPCG(wld.seed, number+1))
 	trn := &http.Transport{MaxIdleConnsPerHost: 1}
@@ -67,8 +71,8 @@
 		callCtx, cancel := context.WithTimeout(context.Background(), callDeadline)
 		if cal.isStream() {
 			cal.wanted = 1 + rnd.IntN(maxEvents)
-			if rnd.Float64() < leaveShare {
-				cal.left = true
+			if rnd.Float64() < abandonShare {
+				cal.abandoned = true
 				callCtx, cancel = context.WithTimeout(context.Background(), time.Duration(rnd.Int64N(int64(time.Second))))
 			}
 		}
@@ -106,7 +110,7 @@
 		return
 	}
 	body, err := io.ReadAll(res.Body)
-	cal.body, cal.err, cal.whole = string(body), err, err == nil
+	cal.body, cal.err, cal.complete = string(body), err, err == nil
 }
 
 func (cal *call) readEvents(body io.Reader) {
@@ -124,5 +128,5 @@
 		}
 	}
 	cal.err = scn.Err()
-	cal.whole = cal.err == nil
+	cal.complete = cal.err == nil
 }
--- a/soak/check.go
+++ b/soak/check.go
@@ -11,25 +11,26 @@
 )
 
 const (
-	// maxMemory is the bound for each daemon at the size goal.
+	// maxMemory is the resident memory in bytes that a daemon may use at the target size.
 	maxMemory = 128 << 20
-	// maxDescriptors is what the users' machines allow a process, less those reserved for files.
+	// maxDescriptors is the limit on open descriptors of a process on the users' machines, less those reserved for files.
 	maxDescriptors = 3900
-	// revokeTime is how long a key that was taken away may be used (revokeMs on the users' sites).
+	// revokeTime is how long a daemon may accept a key after the configuration without it (revokeMs on the users' sites).
 	revokeTime = 5 * time.Second
-	// catchUp is how long a process may be behind after the last disturbance (catchUpS on the users' sites).
-	catchUp = 4 * time.Second
-	// backSlack is how long after an effect of a version an older one may still show (rollbackSlackMs).
-	backSlack = 250 * time.Millisecond
-	// drainSlack is the time on the way for a request sent before the end of drainTime.
+	// catchUpTime is how long after the last fault a daemon may use an old configuration (catchUpS on the users' sites).
+	catchUpTime = 4 * time.Second
+	// rollbackSlack is how long after a response by one configuration version a response by an older one may still
+	// arrive (rollbackSlackMs on the users' sites).
+	rollbackSlack = 250 * time.Millisecond
+	// drainSlack is the longest transit time to an endpoint of a request sent before the end of drainTime.
 	drainSlack = 250 * time.Millisecond
-	// lossSlack is how soon after it was sent a request may end unread (lossSlackMs).
+	// lossSlack is how long after it was sent a request may fail unread, without a run (lossSlackMs on the users' sites).
 	lossSlack = 200 * time.Millisecond
-	// shown is the number of findings of one promise that are listed.
-	shown = 5
+	// maxListed is the number of findings of one kind that are printed.
+	maxListed = 5
 )
 
-// report is what a run showed.
+// report is the result of a run.
 type report struct {
 	findings []string
 	calls    int
@@ -37,7 +38,8 @@
 	memory   int64
 }
 
-// check compares what callers and endpoints saw with what is promised.
+// check compares what callers and endpoints recorded with the guarantees of the daemons. From quietFrom on, when no
+// fault is active, each call with the key that is always valid must succeed.
 func (wld *world) check(quietFrom time.Time) *report {
 	wld.mutex.Lock()
 	defer wld.mutex.Unlock()
@@ -54,18 +56,18 @@
 	}
 	for _, cal := range wld.calls {
 		rpt.statuses[cal.status]++
-		for _, one := range []func(*call, []standin.SiteRun) string{checkRuns, checkAnswer, checkLeft, wld.checkKey, wld.checkLoss} {
+		for _, one := range []func(*call, []standin.SiteRun) string{checkRuns, checkAnswer, checkAbandoned, wld.checkKey, wld.checkLoss} {
 			if finding := one(cal, runs[cal.id]); finding != "" {
 				rpt.findings = append(rpt.findings, fmt.Sprintf("%s (%s of %s at %s, key %s, sent %.3f s, took %.3f s, status %d, %v)", finding, cal.id, cal.route,
 					cal.daemon.name, cal.key, cal.sent.Sub(wld.began).Seconds(), cal.ended.Sub(cal.sent).Seconds(), cal.status, cal.err))
 			}
 		}
-		if cal.sent.After(quietFrom) && cal.key == "one" && !cal.left && (!cal.whole || cal.status != http.StatusOK) {
-			rpt.findings = append(rpt.findings, fmt.Sprintf("not served though nothing disturbed the site: %s of %s at %s, status %d, %s, %v",
+		if cal.sent.After(quietFrom) && cal.key == "one" && !cal.abandoned && (!cal.complete || cal.status != http.StatusOK) {
+			rpt.findings = append(rpt.findings, fmt.Sprintf("not served although no fault was active: %s of %s at %s, status %d, %s, %v",
 				cal.id, cal.route, cal.daemon.name, cal.status, cal.body, cal.err))
 		}
 	}
-	rpt.findings = append(rpt.findings, wld.checkBack()...)
+	rpt.findings = append(rpt.findings, wld.checkRollback()...)
 	for _, dmn := range wld.daemons {
 		rpt.findings = append(rpt.findings, dmn.findings...)
 	}
@@ -76,7 +78,8 @@
 	return rpt
 }
 
-// checkRuns checks that a request runs once, or as often as its route allows, and not if it was refused.
+// checkRuns checks that a request runs at most once, or as often as its route allows, and never if it was refused; and
+// that the endpoint gets the caller's organisation and not the caller's key.
 func checkRuns(cal *call, runs []standin.SiteRun) string {
 	var begun int
 	for _, run := range runs {
@@ -84,7 +87,7 @@
 			begun++
 		}
 		if run.Authorized || run.Organisation != cal.key {
-			return fmt.Sprintf("ran for organisation %q, key passed on %t", run.Organisation, run.Authorized)
+			return fmt.Sprintf("ran for organisation %q, key forwarded %t", run.Organisation, run.Authorized)
 		}
 	}
 	most := 1
@@ -101,7 +104,8 @@
 	return ""
 }
 
-// checkAnswer checks that a whole answer is the endpoint's, and that events come once and in order.
+// checkAnswer checks that a complete response comes from the endpoint unchanged, and that events arrive once and in
+// order.
 func checkAnswer(cal *call, _ []standin.SiteRun) string {
 	for i, event := range cal.events {
 		if event != i+1 {
@@ -111,31 +115,32 @@
 	switch {
 	case cal.foreign:
 		return "got an event of another request"
-	case cal.status != http.StatusOK || !cal.whole:
+	case cal.status != http.StatusOK || !cal.complete:
 		return ""
 	case cal.isStream() && len(cal.events) != cal.wanted:
 		return fmt.Sprintf("got a stream that looks complete after %d of %d events", len(cal.events), cal.wanted)
 	case cal.signature == "":
-		return "got an answer without a signature"
+		return "got a response without a signature"
 	case !cal.isStream() && !strings.HasSuffix(cal.body, " to "+cal.id):
-		return fmt.Sprintf("got the answer %q", cal.body)
+		return fmt.Sprintf("got the response %q", cal.body)
 	}
 	return ""
 }
 
-// checkLeft checks that a generation ends when its caller left.
-func checkLeft(cal *call, runs []standin.SiteRun) string {
-	if !cal.left || cal.err == nil || len(runs) == 0 {
+// checkAbandoned checks that no run of a request starts after its caller abandoned it.
+func checkAbandoned(cal *call, runs []standin.SiteRun) string {
+	if !cal.abandoned || cal.err == nil || len(runs) == 0 {
 		return ""
 	}
 	last := slices.MaxFunc(runs, func(one, other standin.SiteRun) int { return one.At.Compare(other.At) })
 	if last.At.After(cal.ended.Add(time.Second)) {
-		return "began to run after its caller had left"
+		return "began to run after its caller had abandoned it"
 	}
 	return ""
 }
 
-// checkKey checks that a key is taken for as long as a configuration has it, and not long after.
+// checkKey checks that a daemon never refuses the key that all configurations have, and that it doesn't accept the key
+// two for longer than revokeTime after a configuration without it.
 func (wld *world) checkKey(cal *call, _ []standin.SiteRun) string {
 	if cal.key == "one" {
 		if cal.status == http.StatusUnauthorized {
@@ -149,36 +154,37 @@
 			last = one
 		}
 	}
-	// A daemon that has been in touch for catchUp knows the last version, whatever happened to it before.
-	if cal.daemon.isDisturbed(cal.sent.Add(-catchUp), cal.ended) {
+	// A daemon that no fault has hit for catchUpTime has the last version, whatever faults hit it before.
+	if cal.daemon.wasDisturbed(cal.sent.Add(-catchUpTime), cal.ended) {
 		return ""
 	}
 	if !last.hasTwo && cal.sent.Sub(last.at) > revokeTime && cal.status == http.StatusOK {
-		return "got an answer for a key that was taken away"
+		return "got a success for a revoked key"
 	}
 	return ""
 }
 
-// checkLoss checks that planned work breaks off no request.
+// checkLoss checks that no request fails in transit while only planned work is in progress.
 func (wld *world) checkLoss(cal *call, runs []standin.SiteRun) string {
-	if cal.err == nil || cal.left {
+	if cal.err == nil || cal.abandoned {
 		return ""
 	}
 	for _, one := range wld.unplanned {
-		if one.from.Before(cal.ended) && cal.sent.Add(-contact).Before(one.to) {
+		if one.from.Before(cal.ended) && cal.sent.Add(-detectionTime).Before(one.to) {
 			return ""
 		}
 	}
 	if len(runs) > 0 || cal.ended.Sub(cal.sent) > lossSlack && cal.status != 0 {
-		return "broken off though only planned work was under way"
+		return "broken off although only planned work was in progress"
 	}
 	return ""
 }
 
-// checkBack checks that a process that refused a key does not take it again before a configuration has it again.
-// A refusal counts only once the last configuration with the key is older than catchUp: a process that is behind may
-// refuse by one version, take the key by the next and refuse it again by the last.
-func (wld *world) checkBack() []string {
+// checkRollback checks that a process doesn't return to an older configuration: once it has refused the key two, it must
+// not accept the key before a new configuration has it again. Refusals within catchUpTime after the last configuration
+// with the key are ignored, because a process that is behind may still apply several versions in turn: it refuses the
+// key by one version, accepts it by the next and refuses it by the last.
+func (wld *world) checkRollback() []string {
 	type process struct {
 		daemon      *daemon
 		incarnation int
@@ -200,36 +206,37 @@
 		since, ok := refused[prc]
 		switch {
 		case cal.key != "two":
-		case cal.status == http.StatusUnauthorized && !ok && cal.sent.Sub(granted) > catchUp:
+		case cal.status == http.StatusUnauthorized && !ok && cal.sent.Sub(granted) > catchUpTime:
 			refused[prc] = cal.ended
-		case cal.status == http.StatusOK && ok && cal.sent.Sub(since) > backSlack:
-			findings = append(findings, fmt.Sprintf("%s took key two for %s after it had refused it", cal.daemon.name, cal.id))
+		case cal.status == http.StatusOK && ok && cal.sent.Sub(since) > rollbackSlack:
+			findings = append(findings, fmt.Sprintf("%s accepted key two for %s after it had refused it", cal.daemon.name, cal.id))
 		}
 	}
 	return findings
 }
 
-// checkDrain checks that no run begins at an endpoint that said so long ago that it drains.
+// checkDrain checks that no run begins at an endpoint later than drainTime after the endpoint announced that it drains,
+// unless a fault hit a daemon meanwhile.
 func (wld *world) checkDrain(run standin.SiteRun, drain time.Time) string {
 	if drain.IsZero() || run.Copied || run.At.Sub(drain) < drainTime+drainSlack {
 		return ""
 	}
 	for _, dmn := range wld.daemons {
-		if dmn.isDisturbed(drain.Add(-contact), run.At) {
+		if dmn.wasDisturbed(drain.Add(-detectionTime), run.At) {
 			return ""
 		}
 	}
-	return fmt.Sprintf("%s began at an endpoint %.3f s after that said that it drains", run.CallID, run.At.Sub(drain).Seconds())
+	return fmt.Sprintf("%s began at an endpoint %.3f s after the endpoint announced that it drains", run.CallID, run.At.Sub(drain).Seconds())
 }
 
-// list returns the findings, a few of each kind.
+// list returns the findings, at most maxListed of each kind. The first four words tell the kind.
 func (rpt *report) list() []string {
 	var lines []string
 	counts := map[string]int{}
 	for _, finding := range rpt.findings {
 		kind := strings.SplitN(finding, " (", 2)[0]
 		kind = strings.Join(strings.Fields(kind)[:min(4, len(strings.Fields(kind)))], " ")
-		if counts[kind]++; counts[kind] <= shown {
+		if counts[kind]++; counts[kind] <= maxListed {
 			lines = append(lines, finding)
 		}
 	}
--- a/soak/daemon.go
+++ b/soak/daemon.go
@@ -17,9 +17,9 @@
 )
 
 const (
-	// drainNotice is the time between the signal to stop and the end of a daemon (graceS on the users' sites).
-	drainNotice = 8 * time.Second
-	settingsFor = `name: %s
+	// drainNotice is the time that a daemon has between SIGTERM and its end (graceS on the users' sites).
+	drainNotice      = 8 * time.Second
+	settingsTemplate = `name: %s
 failureDomain: %s
 callerAddress: %s
 readyAddress: %s
@@ -32,26 +32,26 @@
 `
 )
 
-// daemon is one gateway process; it is started again whenever it ends.
+// daemon is one gateway process, which faults end and start again.
 type daemon struct {
 	name, program, settings, log string
 	caller, metrics              string
 	store                        *proxy
-	// replacing is held while the process is ended and started again.
+	// replacing is held while a fault ends the process and starts it again.
 	replacing sync.Mutex
 
 	mutex sync.Mutex
 	cmd   *exec.Cmd
 	ended chan struct{}
-	// expected is true if the soak itself ends the process.
-	expected bool
-	// starts are the times of the starts, disturbed the faults that hit this daemon.
+	// stopExpected is true once the soak has sent the process a signal that ends it.
+	stopExpected bool
+	// starts are the times at which the process was started; disturbed are the times of the faults that hit it.
 	starts    []time.Time
 	disturbed []span
 	findings  []string
 }
 
-// span is a time during which a fault lasted.
+// span is a period in which a fault, or its after-effect, was active.
 type span struct {
 	from, to time.Time
 }
@@ -69,14 +69,14 @@
 		name: name, program: program, settings: filepath.Join(dir, name+".yaml"), log: filepath.Join(dir, name+".log"),
 		caller: addresses[0], metrics: addresses[3], store: prx,
 	}
-	text := fmt.Sprintf(settingsFor, name, domain, addresses[0], addresses[1], addresses[2], addresses[3], prx.address(), drainNotice)
+	text := fmt.Sprintf(settingsTemplate, name, domain, addresses[0], addresses[1], addresses[2], addresses[3], prx.address(), drainNotice)
 	if err := os.WriteFile(dmn.settings, []byte(text), 0o600); err != nil {
 		return nil, trace.ConvertSystemError(err)
 	}
 	return dmn, dmn.start()
 }
 
-// start starts the process; one that ends by itself is a finding.
+// start starts the process; if it exits although the soak did not end it, that is a finding.
 func (dmn *daemon) start() error {
 	out, err := os.OpenFile(dmn.log, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
@@ -90,14 +90,14 @@
 	}
 	ended := make(chan struct{})
 	dmn.mutex.Lock()
-	dmn.cmd, dmn.ended, dmn.expected = cmd, ended, false
+	dmn.cmd, dmn.ended, dmn.stopExpected = cmd, ended, false
 	dmn.starts = append(dmn.starts, time.Now())
 	dmn.mutex.Unlock()
 	go func() {
 		err := cmd.Wait()
 		dmn.mutex.Lock()
-		if !dmn.expected {
-			dmn.findings = append(dmn.findings, fmt.Sprintf("%s ended by itself: %v; %s", dmn.name, err, dmn.lastLines()))
+		if !dmn.stopExpected {
+			dmn.findings = append(dmn.findings, fmt.Sprintf("%s process exited unexpectedly: %v; %s", dmn.name, err, dmn.lastLines()))
 		}
 		dmn.mutex.Unlock()
 		close(ended)
@@ -105,7 +105,7 @@
 	return nil
 }
 
-// lastLines returns the end of the log.
+// lastLines returns the last five lines of the log.
 func (dmn *daemon) lastLines() string {
 	data, err := os.ReadFile(dmn.log)
 	if err != nil {
@@ -115,18 +115,18 @@
 	return string(bytes.Join(lines[max(0, len(lines)-5):], []byte(" | ")))
 }
 
-// signal sends a signal to the process by its id.
+// signal sends a signal to the daemon's process by its id.
 func (dmn *daemon) signal(sig syscall.Signal) {
 	dmn.mutex.Lock()
 	defer dmn.mutex.Unlock()
 	if sig == syscall.SIGKILL || sig == syscall.SIGTERM {
-		dmn.expected = true
+		dmn.stopExpected = true
 	}
-	// A process that has just ended can't be signalled, which the next start corrects.
+	// Signalling fails for a process that has just ended; the next start replaces that process anyway.
 	_ = dmn.cmd.Process.Signal(sig)
 }
 
-// stop ends the process, after its notice at the latest, and waits for its end.
+// stop sends a signal that ends the process and waits for its end. It kills the process after drainNotice.
 func (dmn *daemon) stop(sig syscall.Signal) {
 	dmn.mutex.Lock()
 	ended := dmn.ended
@@ -141,20 +141,20 @@
 	}
 }
 
-func (dmn *daemon) find(format string, args ...any) {
+func (dmn *daemon) addFinding(format string, args ...any) {
 	dmn.mutex.Lock()
 	defer dmn.mutex.Unlock()
 	dmn.findings = append(dmn.findings, fmt.Sprintf(format, args...))
 }
 
-func (dmn *daemon) disturb(from, to time.Time) {
+func (dmn *daemon) addDisturbance(from, to time.Time) {
 	dmn.mutex.Lock()
 	defer dmn.mutex.Unlock()
 	dmn.disturbed = append(dmn.disturbed, span{from, to})
 }
 
-// isDisturbed reports whether a fault hit the daemon between two times.
-func (dmn *daemon) isDisturbed(from, to time.Time) bool {
+// wasDisturbed reports whether a fault of this daemon, or its after-effect, was active between two times.
+func (dmn *daemon) wasDisturbed(from, to time.Time) bool {
 	dmn.mutex.Lock()
 	defer dmn.mutex.Unlock()
 	for _, one := range dmn.disturbed {
@@ -165,7 +165,7 @@
 	return false
 }
 
-// incarnation returns the number of starts before a time.
+// incarnation returns how often the process was started before a time, which identifies the process at that time.
 func (dmn *daemon) incarnation(at time.Time) int {
 	dmn.mutex.Lock()
 	defer dmn.mutex.Unlock()
--- a/soak/engine.go
+++ b/soak/engine.go
@@ -14,36 +14,38 @@
 )
 
 const (
-	// beatInterval is the time between two entries of an endpoint, lapseTime the silence after which its entry goes.
-	beatInterval = 1200 * time.Millisecond
-	lapseTime    = 3 * beatInterval
-	// eventInterval is the time between two events of a generation, copyTime how long a copy of its memory takes.
+	// entryInterval is the time between two writes of an endpoint's entry in the store. An entry is removed entryLifetime
+	// after its endpoint stopped.
+	entryInterval = 1200 * time.Millisecond
+	entryLifetime = 3 * entryInterval
+	// eventInterval is the time between two events of a generation; copyTime is the duration of a copy of its memory.
 	eventInterval = 15 * time.Millisecond
 	copyTime      = 100 * time.Millisecond
 )
 
-// engine is a stand-in endpoint behind a link; it is replaced by a new one whenever it ends.
+// engine is a stand-in endpoint behind a proxy. When a fault ends it, a new endpoint with another id replaces it at the
+// same address.
 type engine struct {
 	number          int
 	service, domain string
 	link            *proxy
 	store           *standin.KeyedStore
 	pool            *standin.SiteEngines
-	// replacing is held while the endpoint leaves and another one starts.
+	// replacing is held while a fault ends the endpoint and starts another one.
 	replacing sync.Mutex
 
-	mutex   sync.Mutex
-	current *standin.SiteEngine
-	server  *http.Server
-	starts  int
-	beats   int
-	state   string
-	// silent is true while no entries are written.
+	mutex    sync.Mutex
+	current  *standin.SiteEngine
+	server   *http.Server
+	starts   int
+	sequence int
+	state    string
+	// silent is true while the endpoint writes no entries.
 	silent bool
-	// drains has when each endpoint that drained said so.
+	// drains holds the time at which each endpoint began to drain, by its id.
 	drains map[string]time.Time
-	// all are all endpoints that ran here.
-	all []*standin.SiteEngine
+	// incarnations are all endpoints that ran at this address, the current one included.
+	incarnations []*standin.SiteEngine
 }
 
 func newEngine(number int, service, domain string, store *standin.KeyedStore, pool *standin.SiteEngines) (*engine, error) {
@@ -55,7 +57,7 @@
 	return eng, eng.start()
 }
 
-// start begins a new endpoint at the same address.
+// start starts a new endpoint at the same address.
 func (eng *engine) start() error {
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -66,36 +68,37 @@
 	sen := standin.NewSiteEngine(fmt.Sprintf("%s%d-%d", eng.service, eng.number, eng.starts))
 	sen.Interval, sen.CopyTime = eventInterval, copyTime
 	eng.pool.Put(eng.link.address(), sen)
-	eng.current, eng.state, eng.beats, eng.silent = sen, "ready", 0, false
-	eng.server = &http.Server{Handler: sen, ReadHeaderTimeout: lapseTime}
-	eng.all = append(eng.all, sen)
+	eng.current, eng.state, eng.sequence, eng.silent = sen, "ready", 0, false
+	eng.server = &http.Server{Handler: sen, ReadHeaderTimeout: entryLifetime}
+	eng.incarnations = append(eng.incarnations, sen)
 	server := eng.server
 	eng.mutex.Unlock()
 	go func() { _ = server.Serve(lis) }()
 	eng.link.retarget(lis.Addr().String())
-	eng.beat()
+	eng.writeEntry()
 	return nil
 }
 
-// beat writes the endpoint's entry.
-func (eng *engine) beat() {
+// writeEntry writes the endpoint's entry to the store, unless the endpoint is silent.
+func (eng *engine) writeEntry() {
 	eng.mutex.Lock()
 	defer eng.mutex.Unlock()
 	if eng.silent {
 		return
 	}
-	eng.beats++
+	eng.sequence++
 	entry, err := json.Marshal(map[string]any{
 		"service": eng.service, "address": eng.link.address(), "zone": eng.domain, "slots": 64, "state": eng.state,
-		"sequence": eng.beats, "born": int64(1000*eng.number + eng.starts), "coldLeftMs": 0,
+		"sequence": eng.sequence, "born": int64(1000*eng.number + eng.starts), "coldLeftMs": 0,
 	})
 	if err == nil {
 		eng.store.Put("keyed.servers", eng.current.ID, entry)
 	}
 }
 
-// leave lets the endpoint say that it drains, or removes its entry; it serves on until end.
-func (eng *engine) leave(vanishes bool) {
+// drain makes the endpoint report that it leaves and either write an entry with state draining or, if it vanishes,
+// remove its entry. It serves requests until stop is called.
+func (eng *engine) drain(vanishes bool) {
 	eng.mutex.Lock()
 	id := eng.current.ID
 	eng.state = "draining"
@@ -106,11 +109,11 @@
 		eng.store.Put("keyed.servers", id, nil)
 	}
 	eng.mutex.Unlock()
-	eng.beat()
+	eng.writeEntry()
 }
 
-// end breaks off everything at the endpoint; its entry goes when it has lapsed.
-func (eng *engine) end() {
+// stop stops the endpoint and resets its connections; its entry is removed after entryLifetime.
+func (eng *engine) stop() {
 	eng.mutex.Lock()
 	defer eng.mutex.Unlock()
 	id := eng.current.ID
@@ -118,7 +121,7 @@
 	eng.current.Stop()
 	_ = eng.server.Close()
 	eng.link.resetAll()
-	time.AfterFunc(lapseTime, func() { eng.store.Put("keyed.servers", id, nil) })
+	time.AfterFunc(entryLifetime, func() { eng.store.Put("keyed.servers", id, nil) })
 }
 
 func (eng *engine) setMode(mode standin.EngineMode) {
@@ -127,11 +130,11 @@
 	eng.current.SetMode(mode)
 }
 
-// runs returns all runs at this address, with the times at which their endpoints began to drain.
+// runs returns all runs at this address, each with the time at which its endpoint began to drain (zero if it did not).
 func (eng *engine) runs() (runs []standin.SiteRun, drains []time.Time) {
 	eng.mutex.Lock()
 	defer eng.mutex.Unlock()
-	for _, sen := range eng.all {
+	for _, sen := range eng.incarnations {
 		for _, run := range sen.Runs() {
 			runs, drains = append(runs, run), append(drains, eng.drains[sen.ID])
 		}
--- a/soak/main.go
+++ b/soak/main.go
@@ -1,5 +1,6 @@
-// Command soak runs real daemons as separate processes, disturbs them and all they meet by a plan drawn from a seed,
-// and compares what callers and endpoints saw with what is promised.
+// Command soak runs real daemons as separate processes and injects faults into them, the endpoints, the store and the
+// connections by a plan that a random seed determines. It compares what callers and endpoints recorded with the
+// guarantees of the daemons.
 package main
 
 import (
@@ -15,7 +16,7 @@
 	"github.com/spf13/cobra"
 )
 
-// options are what a soak is started with.
+// options are the command-line options.
 type options struct {
 	program          string
 	logs             string
@@ -30,7 +31,7 @@
 func main() {
 	var opt options
 	cmd := &cobra.Command{
-		Use: "soak", Short: "Run real daemons under random faults and check what is promised", Args: cobra.NoArgs,
+		Use: "soak", Short: "Run real daemons under random faults and check their guarantees", Args: cobra.NoArgs,
 		SilenceUsage: true, SilenceErrors: true,
 		RunE: func(cmd *cobra.Command, _ []string) error { return opt.run(cmd.Context()) },
 	}
@@ -41,7 +42,7 @@
 	flags.Uint64Var(&opt.seeds, "seeds", 1, "number of seeds, one after the other")
 	flags.DurationVar(&opt.duration, "duration", 40*time.Second, "time of one seed; the last 15 s are without faults")
 	flags.IntVar(&opt.daemons, "daemons", 6, "number of daemons")
-	flags.IntVar(&opt.engines, "engines", 9, "number of endpoints; the first three are plain ones")
+	flags.IntVar(&opt.engines, "engines", 9, "number of endpoints; the first three are plain services")
 	flags.Uint64Var(&opt.callers, "callers", 40, "number of callers")
 	flags.BoolVar(&opt.verbose, "verbose", false, "print the plans")
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
@@ -53,11 +54,11 @@
 	}
 }
 
-// run plays the seeds and returns an error if one has findings.
+// run runs the seeds one after another and returns an error if any has findings.
 func (opt *options) run(ctx context.Context) error {
-	if opt.duration < warmUp+recovery+quiet || opt.daemons < 1 || opt.engines <= deskEndpoints || opt.callers < 1 {
+	if opt.duration < warmUpTime+recoveryTime+quietTime || opt.daemons < 1 || opt.engines <= deskEndpoints || opt.callers < 1 {
 		return trace.BadParameter("duration %s, %d daemons, %d endpoints, %d callers; at least %s, 1, %d and 1 are expected",
-			opt.duration, opt.daemons, opt.engines, opt.callers, warmUp+recovery+quiet, deskEndpoints+1)
+			opt.duration, opt.daemons, opt.engines, opt.callers, warmUpTime+recoveryTime+quietTime, deskEndpoints+1)
 	}
 	if opt.logs == "" {
 		dir, err := os.MkdirTemp("", "papayacroft-soak")
@@ -68,7 +69,7 @@
 	}
 	var failed []uint64
 	for seed := opt.seed; seed < opt.seed+opt.seeds && ctx.Err() == nil; seed++ {
-		rpt, err := opt.play(ctx, seed)
+		rpt, err := opt.runSeed(ctx, seed)
 		if err != nil {
 			return trace.Wrap(err, "seed %d", seed)
 		}
@@ -81,13 +82,13 @@
 		}
 	}
 	if len(failed) > 0 {
-		return trace.CompareFailed("seeds %v broke a promise; logs are in %s", failed, opt.logs)
+		return trace.CompareFailed("seeds %v have findings; logs are in %s", failed, opt.logs)
 	}
 	return nil
 }
 
-// play runs one seed; it keeps the logs if there are findings.
-func (opt *options) play(ctx context.Context, seed uint64) (*report, error) {
+// runSeed runs one seed and deletes its logs if there are no findings.
+func (opt *options) runSeed(ctx context.Context, seed uint64) (*report, error) {
 	dir := filepath.Join(opt.logs, fmt.Sprintf("seed-%d", seed))
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, trace.ConvertSystemError(err)
@@ -105,7 +106,7 @@
 			fmt.Printf("%8.3f s %-16s target %d for %.3f s\n", flt.At.Seconds(), flt.Kind, flt.Target, flt.Length.Seconds())
 		}
 	}
-	quietFrom := time.Now().Add(opt.duration - quiet)
+	quietFrom := time.Now().Add(opt.duration - quietTime)
 	wld.run(ctx, plan, opt.duration, opt.callers)
 	if ctx.Err() != nil {
 		return nil, trace.Wrap(ctx.Err())
--- a/soak/proxy.go
+++ b/soak/proxy.go
@@ -10,14 +10,15 @@
 	"github.com/gravitational/trace"
 )
 
-// linkMode is what a proxy does with bytes.
+// linkMode determines how a proxy forwards bytes.
 type linkMode int
 
 const (
-	linkPasses linkMode = iota
-	// linkDelays holds each piece back for linkDelay.
+	linkForwards linkMode = iota
+	// linkDelays forwards each chunk of bytes after linkDelay.
 	linkDelays
-	// linkHolds passes nothing in either direction, linkOneWay no answers.
+	// linkHolds forwards nothing in either direction until the mode changes; linkOneWay forwards requests, but no
+	// responses.
 	linkHolds
 	linkOneWay
 )
@@ -28,12 +29,12 @@
 	linkBytes = 32 << 10
 )
 
-// proxy is a link to a program on the loopback network that can be disturbed.
+// proxy forwards TCP connections to a program on the loopback network and can delay, hold or reset them.
 type proxy struct {
 	listener net.Listener
 
 	mutex sync.Mutex
-	// target is empty while nothing listens there.
+	// target is the address of the program; empty before the program listens.
 	target string
 	mode   linkMode
 	conns  map[*proxyConn]bool
@@ -42,8 +43,8 @@
 // proxyConn is one connection through a proxy.
 type proxyConn struct {
 	caller, target net.Conn
-	// mute connections pass nothing for good.
-	mute bool
+	// silent is true if the connection stays open but forwards nothing any more, whatever the proxy's mode.
+	silent bool
 }
 
 func newProxy(target string) (*proxy, error) {
@@ -83,17 +84,18 @@
 	prx.mutex.Lock()
 	prx.conns[con] = true
 	prx.mutex.Unlock()
-	go prx.pass(con, target, caller, true)
-	prx.pass(con, caller, target, false)
+	go prx.forward(con, target, caller, true)
+	prx.forward(con, caller, target, false)
 }
 
-// pass hands on what one side sends until it ends; answers come from the side that listens.
-func (prx *proxy) pass(con *proxyConn, from, to net.Conn, answers bool) {
+// forward copies what one side sends to the other until the connection ends. answers is true for the direction from
+// the target to the caller.
+func (prx *proxy) forward(con *proxyConn, from, to net.Conn, answers bool) {
 	defer prx.end(con)
 	buf := make([]byte, linkBytes)
 	for {
 		count, err := from.Read(buf)
-		if count > 0 && prx.hold(con, answers) {
+		if count > 0 && prx.awaitForwarding(con, answers) {
 			if _, err := to.Write(buf[:count]); err != nil {
 				return
 			}
@@ -107,17 +109,17 @@
 	}
 }
 
-// hold waits until a piece may pass and reports whether the connection still stands.
-func (prx *proxy) hold(con *proxyConn, answers bool) bool {
+// awaitForwarding waits until the mode lets a chunk pass and returns false if the connection was closed meanwhile.
+func (prx *proxy) awaitForwarding(con *proxyConn, answers bool) bool {
 	delayed := false
 	for {
 		prx.mutex.Lock()
-		mode, mute, open := prx.mode, con.mute, prx.conns[con]
+		mode, silent, open := prx.mode, con.silent, prx.conns[con]
 		prx.mutex.Unlock()
 		switch {
 		case !open:
 			return false
-		case mute || mode == linkHolds || mode == linkOneWay && answers:
+		case silent || mode == linkHolds || mode == linkOneWay && answers:
 			time.Sleep(linkPoll)
 		case mode == linkDelays && !delayed:
 			delayed = true
@@ -148,12 +150,12 @@
 	prx.target = target
 }
 
-// silence lets the open connections pass nothing for good; new ones work.
+// silence makes the open connections forward nothing any more without closing them; new connections work.
 func (prx *proxy) silence() {
 	prx.mutex.Lock()
 	defer prx.mutex.Unlock()
 	for con := range prx.conns {
-		con.mute = true
+		con.silent = true
 	}
 }
 
--- a/soak/world.go
+++ b/soak/world.go
@@ -16,17 +16,19 @@
 )
 
 const (
-	// contact is how long after a disturbance a daemon may not have noticed its end (contactMs on the users' sites).
-	contact = 3 * time.Second
-	// drainTime is how long an endpoint serves on after it said that it drains (drainMs on the users' sites).
+	// detectionTime is how long after the end of a fault a daemon may not have noticed yet that the fault has ended
+	// (contactMs on the users' sites).
+	detectionTime = 3 * time.Second
+	// drainTime is how long an endpoint must serve after it announced that it drains (drainMs on the users' sites).
 	drainTime     = 2 * time.Second
 	memoryEvery   = 500 * time.Millisecond
 	deskEndpoints = 3
-	// maxAttempts is two for all routes, so that a request that must not be repeated could be.
+	// maxAttempts is two for all routes, so that the limit alone doesn't keep a daemon from repeating a request that must
+	// not be repeated.
 	maxAttempts = 2
 )
 
-// keyName is a field of most parts of a configuration.
+// keyName is the JSON key of the name that most parts of a configuration have.
 const keyName = "name"
 
 var domains = []string{"a", "b", "c"}
@@ -35,21 +37,21 @@
 	standin.EngineSheds, standin.EngineFails, standin.EngineCuts, standin.EngineForeign, standin.EngineUnsigned,
 }
 
-// world is a site with real daemons, and stand-ins for all they meet.
+// world is a site with real daemons, and with stand-ins for the store and the endpoints.
 type world struct {
-	seed    uint64
-	store   *standin.KeyedStore
-	door    *httptest.Server
-	daemons []*daemon
-	engines []*engine
-	began   time.Time
+	seed        uint64
+	store       *standin.KeyedStore
+	storeServer *httptest.Server
+	daemons     []*daemon
+	engines     []*engine
+	began       time.Time
 
 	mutex   sync.Mutex
 	calls   []*call
 	version int
-	// keys has the versions, with the time of their acknowledgement and whether they have the key two.
+	// keys holds, for each configuration version in order, when it was written and whether it has the key two.
 	keys []keyVersion
-	// unplanned are the times of all faults that no operator plans.
+	// unplanned are the periods of all faults that are no planned work.
 	unplanned   []span
 	memory      int64
 	descriptors int
@@ -60,10 +62,11 @@
 	hasTwo bool
 }
 
-// newWorld starts a site; daemons use the program.
+// newWorld starts a site whose daemons run the given program. It returns a partial site with an error, so that the
+// caller can close it.
 func newWorld(dir, program string, seed uint64, daemons, engines int) (*world, error) {
 	wld := &world{seed: seed, store: standin.NewKeyedStore(), began: time.Now()}
-	wld.door = httptest.NewServer(wld.store)
+	wld.storeServer = httptest.NewServer(wld.store)
 	wld.publish(true)
 	pool := standin.NewSiteEngines()
 	for i := range engines {
@@ -78,7 +81,7 @@
 		wld.engines = append(wld.engines, eng)
 	}
 	for i := range daemons {
-		dmn, err := newDaemon(dir, program, fmt.Sprintf("d%d", i+1), domains[i%len(domains)], wld.door.Listener.Addr().String())
+		dmn, err := newDaemon(dir, program, fmt.Sprintf("d%d", i+1), domains[i%len(domains)], wld.storeServer.Listener.Addr().String())
 		if err != nil {
 			return wld, trace.Wrap(err)
 		}
@@ -87,14 +90,14 @@
 	return wld, nil
 }
 
-// close ends the processes that the world started.
+// close kills the daemon processes that this world started.
 func (wld *world) close() {
 	var wgr sync.WaitGroup
 	for _, dmn := range wld.daemons {
 		wgr.Go(func() { dmn.stop(syscall.SIGKILL) })
 	}
 	wgr.Wait()
-	wld.door.CloseClientConnections()
+	wld.storeServer.CloseClientConnections()
 }
 
 func (wld *world) record(cal *call) {
@@ -103,7 +106,7 @@
 	wld.calls = append(wld.calls, cal)
 }
 
-// run plays a plan while callers call.
+// run applies the faults of a plan while callers send requests.
 func (wld *world) run(ctx context.Context, plan []Fault, duration time.Duration, callers uint64) {
 	ctx, cancel := context.WithTimeout(ctx, duration)
 	defer cancel()
@@ -112,7 +115,7 @@
 		wgr.Go(func() { wld.runCaller(ctx, number) })
 	}
 	for _, eng := range wld.engines {
-		wgr.Go(func() { every(ctx, beatInterval, eng.beat) })
+		wgr.Go(func() { every(ctx, entryInterval, eng.writeEntry) })
 	}
 	wgr.Go(func() { every(ctx, memoryEvery, wld.watchMemory) })
 	began := time.Now()
@@ -150,17 +153,17 @@
 	}
 }
 
-// apply plays one fault to its end.
+// apply applies one fault and returns when it has ended.
 func (wld *world) apply(flt Fault) {
 	now := time.Now()
 	if !flt.planned() {
 		wld.mutex.Lock()
-		wld.unplanned = append(wld.unplanned, span{now, now.Add(flt.Length + contact)})
+		wld.unplanned = append(wld.unplanned, span{now, now.Add(flt.Length + detectionTime)})
 		wld.mutex.Unlock()
 	}
 	if flt.hitsDaemon() {
 		if !flt.planned() {
-			wld.daemons[flt.Target].disturb(now, now.Add(flt.Length+contact))
+			wld.daemons[flt.Target].addDisturbance(now, now.Add(flt.Length+detectionTime))
 		}
 		wld.applyDaemon(flt, wld.daemons[flt.Target])
 		return
@@ -183,23 +186,23 @@
 	case KindStoreCut:
 		dmn.store.set(linkHolds)
 		time.Sleep(flt.Length)
-		dmn.store.set(linkPasses)
+		dmn.store.set(linkForwards)
 		dmn.store.resetAll()
 	case KindStoreReset:
 		dmn.store.resetAll()
 	}
 }
 
-// applySite plays a fault of the store, the operator or an endpoint.
+// applySite applies a fault of the store or an endpoint, or publishes a configuration.
 func (wld *world) applySite(flt Fault, eng *engine) {
 	switch flt.Kind {
-	case KindStoreBusy, KindStoreMute:
+	case KindStoreBusy, KindStoreSilent:
 		mode := standin.StoreBusy
-		if flt.Kind == KindStoreMute {
+		if flt.Kind == KindStoreSilent {
 			mode = standin.StoreSilent
 		}
 		for _, dmn := range wld.daemons {
-			dmn.disturb(time.Now(), time.Now().Add(flt.Length+contact))
+			dmn.addDisturbance(time.Now(), time.Now().Add(flt.Length+detectionTime))
 		}
 		wld.store.SetMode(mode)
 		time.Sleep(flt.Length)
@@ -207,12 +210,12 @@
 	case KindPublish:
 		wld.publish(flt.Variant%2 == 0)
 	case KindCrash:
-		eng.replace(flt.Length, eng.end)
+		eng.replace(flt.Length, eng.stop)
 	case KindDrain, KindVanish:
 		eng.replace(flt.Length, func() {
-			eng.leave(flt.Kind == KindVanish)
+			eng.drain(flt.Kind == KindVanish)
 			time.Sleep(drainTime + time.Second + flt.Length)
-			eng.end()
+			eng.stop()
 		})
 	case KindMode:
 		eng.setMode(engineModes[flt.Variant%len(engineModes)])
@@ -227,21 +230,22 @@
 	switch flt.Kind {
 	case KindLinkReset:
 		link.resetAll()
-	case KindLinkMute:
+	case KindLinkSilent:
 		link.silence()
 	case KindLinkDelay:
 		link.set(linkDelays)
 		time.Sleep(flt.Length)
-		link.set(linkPasses)
+		link.set(linkForwards)
 	case KindLinkOneWay:
 		link.set(linkOneWay)
 		time.Sleep(flt.Length)
-		link.set(linkPasses)
+		link.set(linkForwards)
 		link.resetAll()
 	}
 }
 
-// replace ends the process and starts it again after a pause; a process that is being replaced already is left alone.
+// replace ends the process and starts it again after a pause. It does nothing if another fault is already replacing the
+// process.
 func (dmn *daemon) replace(sig syscall.Signal, pause time.Duration) {
 	if !dmn.replacing.TryLock() {
 		return
@@ -250,14 +254,15 @@
 	dmn.stop(sig)
 	time.Sleep(pause)
 	if err := dmn.start(); err != nil {
-		dmn.find("%s could not be started: %v", dmn.name, err)
+		dmn.addFinding("%s could not be started: %v", dmn.name, err)
 	}
 	if sig == syscall.SIGKILL {
-		dmn.disturb(time.Now().Add(-pause), time.Now().Add(contact))
+		dmn.addDisturbance(time.Now().Add(-pause), time.Now().Add(detectionTime))
 	}
 }
 
-// replace ends the endpoint in a way and starts another one after a pause.
+// replace calls a function that ends the endpoint and starts another one after a pause. It does nothing if another fault
+// is already replacing the endpoint.
 func (eng *engine) replace(pause time.Duration, end func()) {
 	if !eng.replacing.TryLock() {
 		return
@@ -268,7 +273,7 @@
 	_ = eng.start()
 }
 
-// publish writes the next configuration, with or without the key two.
+// publish writes the next configuration version to the store, with or without the key two.
 func (wld *world) publish(hasTwo bool) {
 	wld.mutex.Lock()
 	defer wld.mutex.Unlock()
@@ -277,7 +282,7 @@
 	wld.keys = append(wld.keys, keyVersion{at: time.Now(), hasTwo: hasTwo})
 }
 
-// configuration has a plain service and one of engines, and a route for each kind of request.
+// configuration returns a configuration with a plain service, a service of engines and a route for each kind of request.
 func configuration(version int, hasTwo bool) []byte {
 	route := func(name, kind, service string, resumable bool) map[string]any {
 		return map[string]any{
