--- a/proof/main.go
+++ b/proof/main.go
@@ -1,4 +1,5 @@
-// Command proof takes one mechanism after the other out of a scratch copy and shows that the scripts that guard it fail.
+// Command proof checks that test scripts detect the loss of the mechanism that they guard. It removes one mechanism
+// after another from a scratch copy of the sources and runs the scripts of each, which must fail.
 package main
 
 import (
@@ -15,12 +16,13 @@
 	"go.yaml.in/yaml/v3"
 )
 
-// change takes a mechanism out of a file.
+// change removes one mechanism from the sources.
 type change struct {
 	Name string `yaml:"name"`
-	// Edits are made together; each old text occurs once, so that one that does not fit any more is an error.
+	// Edits are applied together. Each old text must occur exactly once in its file, so that an edit that no longer
+	// matches the sources is an error.
 	Edits []edit `yaml:"edits"`
-	// Scripts are the scripts of package gateway that must fail.
+	// Scripts are the test scripts of package gateway that must fail without the mechanism.
 	Scripts []string `yaml:"scripts"`
 }
 
@@ -33,7 +35,7 @@
 func main() {
 	var file, only string
 	cmd := &cobra.Command{
-		Use: "proof", Short: "Show that scripts fail without what they guard", Args: cobra.NoArgs, SilenceUsage: true, SilenceErrors: true,
+		Use: "proof", Short: "Check that test scripts fail without the mechanism that they guard", Args: cobra.NoArgs, SilenceUsage: true, SilenceErrors: true,
 		RunE: func(*cobra.Command, []string) error { return run(file, only) },
 	}
 	cmd.Flags().StringVar(&file, "changes", "proof/changes.yaml", "`file` with the changes")
@@ -72,18 +74,18 @@
 		}
 		if len(passed) > 0 {
 			unproved = append(unproved, chg.Name)
-			fmt.Printf("%s: NOT PROVED, passed without it: %s\n", chg.Name, strings.Join(passed, ", "))
+			fmt.Printf("%s: NOT PROVED, passed without the mechanism: %s\n", chg.Name, strings.Join(passed, ", "))
 			continue
 		}
-		fmt.Printf("%s: failed without it: %s\n", chg.Name, strings.Join(chg.Scripts, ", "))
+		fmt.Printf("%s: failed without the mechanism: %s\n", chg.Name, strings.Join(chg.Scripts, ", "))
 	}
 	if len(unproved) > 0 {
-		return trace.CompareFailed("scripts passed without what they guard: %s", strings.Join(unproved, ", "))
+		return trace.CompareFailed("scripts passed without the mechanism that they guard, for changes: %s", strings.Join(unproved, ", "))
 	}
 	return nil
 }
 
-// copySources copies the files that git knows to a directory.
+// copySources copies the files that git tracks, except the journal, to a directory.
 func copySources(dir string) error {
 	list, err := exec.Command("git", "ls-files").Output()
 	if err != nil {
@@ -111,7 +113,8 @@
 	return trace.ConvertSystemError(os.WriteFile(name, data, 0o600))
 }
 
-// try makes the change, runs the scripts, takes it back and returns the scripts that passed.
+// try applies the change to the copy in dir, runs its scripts, reverts the change and returns the scripts that passed.
+// It fails if an edit doesn't match or a script did not run.
 func (chg *change) try(dir string) (passed []string, err error) {
 	for _, edt := range chg.Edits {
 		name := filepath.Join(dir, edt.File)
@@ -120,7 +123,7 @@
 			return nil, trace.ConvertSystemError(err)
 		}
 		if count := strings.Count(string(before), edt.Old); count != 1 {
-			return nil, trace.BadParameter("%s has the old text %d times, once is expected: %s", edt.File, count, edt.Old)
+			return nil, trace.BadParameter("%s contains the old text %d times, expected once: %s", edt.File, count, edt.Old)
 		}
 		if err := write(name, []byte(strings.Replace(string(before), edt.Old, edt.New, 1))); err != nil {
 			return nil, trace.Wrap(err)
@@ -134,7 +137,8 @@
 	pattern := "^TestScenarios$/^(" + strings.Join(chg.Scripts, "|") + ")$"
 	test := exec.Command("go", "test", "-count=1", "-v", "-run", pattern, "./gateway") //nolint:gosec // the names are the project's own
 	test.Dir = dir
-	// A test that fails is what is expected; a build that fails shows no script at all.
+	// The error is ignored, because the scripts are expected to fail. If the build fails, no script is reported, which
+	// the check below finds.
 	out, _ := test.CombinedOutput()
 	var ran []string
 	for _, found := range verdict.FindAllSubmatch(out, -1) {
@@ -151,5 +155,5 @@
 	return passed, nil
 }
 
-// verdict matches the line of go test on one script.
+// verdict matches the line in which go test reports the result of one script.
 var verdict = regexp.MustCompile(`--- (PASS|FAIL): TestScenarios/(\S+)`)
