--- a/daemon/leases_test.go
+++ b/daemon/leases_test.go
@@ -276,7 +276,7 @@
 				next := flt.awaitHolder(t, pool, lost, tst.within)
 				time.Sleep(lease.Duration + lease.Margin + 2*time.Second)
 				if _, ok := flt.leasers[next].keeper.MayOrder(pool, false); !ok {
-					t.Errorf("got no right to order for daemon %d after its waits; want it", next)
+					t.Errorf("got daemon %d without the right to send orders after the old lease ended; want it to have the right", next)
 				}
 				cancel()
 				synctest.Wait()
--- a/daemon/notice.go
+++ b/daemon/notice.go
@@ -29,7 +29,7 @@
 	for _, cls := range longClasses(brd.Index.Configuration, nch.notice) {
 		nch.logger.WithFields(logrus.Fields{
 			"class": cls.Name, "deadline": time.Duration(cls.Deadline), "notice": nch.notice, "allowed": allowedDeadline(nch.notice),
-		}).Warn("the class's deadline is longer than the drain notice allows; a planned stop may end its calls early")
+		}).Warn("the class's deadline is longer than the notice allows; a planned stop may end its calls early")
 	}
 }
 
--- a/daemon/placement_test.go
+++ b/daemon/placement_test.go
@@ -44,11 +44,11 @@
 	pps := &poolPlacer{polledAt: map[string]time.Time{}}
 	vew := placement.View{Engines: []placement.Engine{{Name: "a", Reported: true}, {Name: "b"}, {Name: "c", Lost: true}}}
 	if pps.readyToPlan(vew) {
-		t.Error("got a known pool before engine b was asked; want none")
+		t.Error("got a pool ready to plan before engine b was polled; want it not ready")
 	}
 	pps.polledAt["b"] = time.Unix(1000, 0)
 	if !pps.readyToPlan(vew) {
-		t.Error("got an unknown pool after engine b was asked; want it known")
+		t.Error("got a pool not ready to plan after engine b was polled; want it ready")
 	}
 }
 
--- a/daemon/quarantine_test.go
+++ b/daemon/quarantine_test.go
@@ -55,11 +55,11 @@
 	}
 	for _, engine := range []string{"engine-1", "engine-2"} {
 		if !one.entry.Quarantine.Begin(engine, "poison", engine) {
-			t.Fatalf("got begin on %s refused", engine)
+			t.Fatalf("got a refused run on %s; want it to begin", engine)
 		}
 		// The other daemon responds to the report that it has no run on the engine.
 		if !one.entry.Quarantine.Confirm(t.Context(), engine, 1, func(context.Context) bool { return true }) {
-			t.Fatalf("got no trial on %s", engine)
+			t.Fatalf("got no confirmed run on %s; want one", engine)
 		}
 		one.entry.Quarantine.Crash(engine, time.Now())
 	}
@@ -70,5 +70,5 @@
 		}
 		time.Sleep(time.Millisecond)
 	}
-	t.Fatal("got no quarantine on the other daemon")
+	t.Fatal("got no quarantine of the request on the other daemon; want one")
 }
