--- a/daemon/leaving.go
+++ b/daemon/leaving.go
@@ -130,7 +130,7 @@
 	return ok
 }
 
-// checkList marks the endpoints that the platform's list newly gives as leaving.
+// checkList stores which endpoints are leaving according to the platform's list, and marks the new ones as leaving.
 func (wat *leavingWatch) checkList(now time.Time, snp *blackboard.Snapshot) {
 	leaving := map[string]bool{}
 	for _, vmm := range snp.VMs {
--- a/daemon/placement.go
+++ b/daemon/placement.go
@@ -20,7 +20,7 @@
 	placementInterval = time.Second
 	pollTimeout       = time.Second
 	// reportAge is the age of the last load report, and the time since the last poll, after which the lease holder polls
-	// an engine.
+	// an engine; engines in use rarely reach it, because their responses and streams carry load reports.
 	reportAge = 5 * time.Second
 	// lostAfter is the age of the last load report beyond which an engine whose calls fail is treated as lost.
 	lostAfter = 10 * time.Second
