--- a/entry/answers.go
+++ b/entry/answers.go
@@ -9,7 +9,8 @@
 	"papayacroft/routing"
 )
 
-// finish keeps the outcome of a dispatched claim for second attempts.
+// finish records the outcome of a dispatched claim, so that later attempts with the same key get the same answer. A
+// nil answer records that the outcome is unknown.
 func (srv *Server) finish(id uuid.UUID, ans *answer) {
 	res := claim.Result{State: claim.StateUnknown}
 	if ans != nil {
@@ -18,7 +19,8 @@
 	srv.Claims.Ledger.Finish(srv.Now(), id, res)
 }
 
-// firstAnswer returns what the first attempt with the key got; givenUp is true if that attempt never runs.
+// firstAnswer returns the answer or the refusal of the attempt that holds the key's claim. givenUp is true if that
+// attempt has given its claim up, so that it never runs the request.
 func (srv *Server) firstAnswer(ctx context.Context, held claim.Claim) (ans *answer, ref *Refusal, givenUp bool) {
 	switch res := srv.Claims.Result(ctx, held); res.State {
 	case claim.StateGivenUp:
--- a/entry/board_test.go
+++ b/entry/board_test.go
@@ -2,7 +2,7 @@
 
 import "papayacroft/blackboard"
 
-// fixedBoard always gives the same snapshot.
+// fixedBoard is a Board that always returns the same snapshot.
 type fixedBoard struct{ snapshot *blackboard.Snapshot }
 
 // Snapshot returns the snapshot.
--- a/entry/bounds_test.go
+++ b/entry/bounds_test.go
@@ -39,7 +39,8 @@
 	})
 }
 
-// Guards against callers' malformed or oversized requests that hang, crash or end without an honest refusal.
+// A malformed or oversized request must get a refusal body with the outcome notRun. Guards against a daemon that
+// hangs, crashes or breaks the connection instead.
 func TestRefusesBadRequests(t *testing.T) {
 	srv := NewServer()
 	srv.Board = fixedBoard{&blackboard.Snapshot{Index: testIndex()}}
@@ -103,7 +104,8 @@
 	return res.StatusCode, got
 }
 
-// Guards against a caller that follows a handed over answer to the same draining daemon over its kept connection.
+// A draining daemon must close the connections of the callers that it refuses or redirects. Otherwise a caller
+// follows the redirect of a handed-over answer on its keep-alive connection, back to the same draining daemon.
 func TestDrainingClosesConnections(t *testing.T) {
 	srv := NewServer()
 	srv.Board = fixedBoard{&blackboard.Snapshot{Index: testIndex(), DrainingSince: time.Now().Add(-time.Hour)}}
@@ -126,17 +128,17 @@
 	}
 }
 
-// Guards against a caller that holds a connection by sending its body for ever.
+// Guards against a caller that occupies a connection by never finishing its request body.
 func TestRefusesEndlessBody(t *testing.T) {
 	srv := NewServer()
 	srv.Board = fixedBoard{&blackboard.Snapshot{Index: testIndex()}}
 	logger := logrus.New()
 	logger.SetOutput(io.Discard)
-	// The deadline lies in the past, so that the test does not wait for it.
+	// The server's clock is behind, so that the read deadline has already passed and the test does not wait for it.
 	srv.Logger, srv.Now = logger, func() time.Time { return time.Now().Add(-2 * bodyTimeout) }
 	web := httptest.NewServer(srv.Handler())
 	defer web.Close()
-	// An earlier attempt with the key of a ballot may have run.
+	// The ballot has an idempotency key, and an earlier attempt with that key may have run.
 	for path, want := range map[string]Outcome{"/v1/completions": OutcomeNotRun, "/v1/services/desk/ballots": OutcomeUnknown} {
 		if got := postEndless(t, web.URL+path); got.Code != routing.CodeBadRequest || got.Outcome != want {
 			t.Errorf("%s: got %+v; want %s badRequest", path, got, want)
@@ -167,8 +169,9 @@
 	return ref
 }
 
-// Guards against a refusal that says notRun after an engine may have begun the request.
-func TestRefusalStaysHonest(t *testing.T) {
+// Guards against the outcome notRun after an engine may have begun the request: the caller would send a request again
+// that has already run.
+func TestNoNotRunAfterEngineMayHaveBegun(t *testing.T) {
 	for code := range statusCodes {
 		gen := &generation{}
 		if got := gen.refusal(notRun(code, "x")); got.Outcome != OutcomeNotRun {
@@ -181,7 +184,7 @@
 	}
 }
 
-// Guards against retries of service calls beyond the team's budget, or past the class's deadline.
+// Guards against retries of service calls that exceed the team's budget or the class's deadline.
 func TestServiceRetriesSpendBudget(t *testing.T) {
 	srv, now := NewServer(), time.Now()
 	srv.Now, srv.Retries = func() time.Time { return now }, retry.NewBudgets()
@@ -206,7 +209,8 @@
 	}
 }
 
-// FuzzParseCompletionRequest guards against bodies that crash the daemon or pass with values out of bounds.
+// FuzzParseCompletionRequest guards against bodies that crash the daemon or pass validation with values out of
+// bounds.
 func FuzzParseCompletionRequest(f *testing.F) {
 	for _, seed := range []string{
 		`{"model":"writer","class":"writeUp","prompt":"x"}`, `{"model":"writer","class":"writeUp","prompt":"x","maxTokens":-1}`,
--- a/entry/claimed.go
+++ b/entry/claimed.go
@@ -14,13 +14,14 @@
 )
 
 const (
-	// maxReplaced bounds how many given-up claims of one key an attempt replaces.
+	// maxReplaced is the number of given-up claims of one key that one attempt may replace before it is refused.
 	maxReplaced = 3
-	// maxRefusedDials bounds how many endpoints are tried while none can have begun the request.
+	// maxRefusedDials is the number of endpoints that a claimed call tries. It tries the next one only if it is
+	// certain that the previous ones have not begun the request.
 	maxRefusedDials = 4
 )
 
-// claimedCall is a call that may not be repeated, on its way to an endpoint.
+// claimedCall is a call of an operation that may not be repeated, identified by the digest of its idempotency key.
 type claimedCall struct {
 	*serviceCall
 	key     string
@@ -28,7 +29,8 @@
 	created time.Time
 }
 
-// callOnce claims the key and sends the call, or returns what the first attempt with the key got.
+// callOnce claims the idempotency key and sends the call. If an earlier attempt holds the claim of the key, it
+// returns the answer of that attempt instead.
 func (srv *Server) callOnce(ctx context.Context, cal *call, svc *serviceCall, key string) (*answer, *Refusal) {
 	created, err := claim.KeyTime(key)
 	if err != nil {
@@ -51,8 +53,9 @@
 	return srv.claimAndSend(ctx, cal, cld)
 }
 
-// checkApproved refuses a team that no owner has approved before anything is claimed for it.
-// Whether an endpoint takes work is decided after the claim, since an earlier attempt with the key may have run.
+// checkApproved refuses a team that no owner in the pool has approved, before its key is claimed.
+// Whether an endpoint has room is decided only after the claim: an earlier attempt with the key may have run, and
+// then its answer must be returned.
 func (srv *Server) checkApproved(cal *call, svc *serviceCall) *Refusal {
 	idx := cal.snapshot.Index
 	for _, edp := range idx.PoolEndpoints(svc.pool) {
@@ -66,13 +69,13 @@
 
 func (srv *Server) claimAndSend(ctx context.Context, cal *call, cld *claimedCall) (*answer, *Refusal) {
 	replaces := ""
-	left := claim.Timeout
+	remaining := claim.Timeout
 	for range maxReplaced + 1 {
 		started := srv.Now()
-		claimCtx, cancel := context.WithTimeout(ctx, left)
+		claimCtx, cancel := context.WithTimeout(ctx, remaining)
 		held, own, err := srv.Claims.Acquire(claimCtx, cld.key, cld.content, replaces)
 		cancel()
-		left -= srv.Now().Sub(started)
+		remaining -= srv.Now().Sub(started)
 		logger := cal.logger.WithFields(logrus.Fields{"key": cld.key, "claim": held.ID, "claimant": held.Claimant, "own": own, "replaces": replaces})
 		if err != nil {
 			logger.WithError(err).Warn("claim failed")
@@ -99,8 +102,9 @@
 	return nil, notRun(routing.CodeClaimUnavailable, "the request could not be claimed in time, so it was not sent and will not be")
 }
 
-// sendClaimed sends a claimed call to one endpoint after another while it is certain that none has begun it.
-// The claim never passes to another claimant while this function runs, so a pause anywhere in it is harmless.
+// sendClaimed sends a claimed call to one endpoint after another, as long as it is certain that none of them has
+// begun it. No other claimant can take the claim over while this function runs, so a pause of the process at any
+// point in it can't lead to a second run.
 func (srv *Server) sendClaimed(ctx context.Context, cal *call, cld *claimedCall, id uuid.UUID) (*answer, *Refusal) {
 	excluded := map[string]bool{}
 	var last *Refusal
@@ -120,7 +124,7 @@
 			srv.finish(id, ans)
 			return ans, nil
 		}
-		if last = srv.refusedDial(cal, dec.Endpoint, err); last == nil {
+		if last = srv.notBegunRefusal(cal, dec.Endpoint, err); last == nil {
 			srv.finish(id, nil)
 			return nil, unknown(routing.CodeOutcomeUnknown, "%v", err)
 		}
@@ -130,20 +134,22 @@
 	return nil, last
 }
 
-// sendOnce sends a claimed call and waits for its answer even if the caller leaves, until the daemon ends.
+// sendOnce sends a claimed call to one endpoint and waits for the answer until the daemon shuts down, even if the
+// caller disconnects.
 func (srv *Server) sendOnce(ctx context.Context, cal *call, cld *claimedCall, edp *inventory.Endpoint) (*answer, error) {
-	ctx, cancel := srv.calls.untilEnding(context.WithoutCancel(ctx))
+	ctx, cancel := srv.calls.untilStop(context.WithoutCancel(ctx))
 	defer cancel()
 	return srv.send(ctx, cal, cld.serviceCall, edp)
 }
 
-// checkBeforeSend refuses a call that must not be sent any more; nothing has been sent when it refuses.
+// checkBeforeSend refuses a call that must no longer be sent, because its key expired, its caller disconnected or its
+// claim was given up. No endpoint has begun the call when it refuses.
 func (srv *Server) checkBeforeSend(ctx context.Context, cld *claimedCall, id uuid.UUID, first bool) *Refusal {
 	if claim.CheckKeyAge(srv.Now(), cld.created, srv.KeyLifetime) == claim.KeyExpired {
 		return notRun(routing.CodeKeyExpired, "the idempotency key expired before the request was sent")
 	}
 	if ctx.Err() != nil {
-		return leftRefusal(ctx)
+		return cancelledRefusal(ctx)
 	}
 	if first && !srv.Claims.Ledger.Dispatch(id) {
 		return notRun(routing.CodeClaimUnavailable, "the claim was given up before the request was sent")
@@ -151,13 +157,13 @@
 	return nil
 }
 
-// refusedDial returns a refusal if it is certain that the endpoint has not begun the call.
-func (srv *Server) refusedDial(cal *call, edp *inventory.Endpoint, err error) *Refusal {
+// notBegunRefusal returns a refusal if it is certain that the endpoint has not begun the call, and nil otherwise.
+func (srv *Server) notBegunRefusal(cal *call, edp *inventory.Endpoint, err error) *Refusal {
 	edpErr, ok := endpoint.AsError(err)
 	if !ok || edpErr.Begun != endpoint.NotBegun {
 		return nil
 	}
 	srv.noteFailure(edp.Name, err)
-	cal.logger.WithError(err).Info("endpoint refused the connection")
+	cal.logger.WithError(err).Info("endpoint did not begin the call")
 	return notRun(routing.CodeEndpointFailed, "%v", err)
 }
--- a/entry/claimed_test.go
+++ b/entry/claimed_test.go
@@ -49,7 +49,7 @@
 	return srv
 }
 
-// deadlineRecorder takes read deadlines, as a connection does.
+// deadlineRecorder is a response recorder that accepts read deadlines, as the writer of a real connection does.
 type deadlineRecorder struct{ *httptest.ResponseRecorder }
 
 func (deadlineRecorder) SetReadDeadline(time.Time) error { return nil }
@@ -63,28 +63,30 @@
 	return rec
 }
 
-// Guards against a call that is sent after its key expired while the claim was awaited or the daemon was frozen.
+// Guards against a call that is sent although its key expired while the daemon waited for the claim or was frozen.
 func TestKeyAgeIsCheckedBeforeTheSend(t *testing.T) {
 	var runs atomic.Int32
 	srv := newBallotServer(t, func(http.ResponseWriter, *http.Request) { runs.Add(1) })
 	key := uuid.Must(uuid.NewV7())
 	checks := 0
 	srv.Now = func() time.Time {
-		// The first two readings are the arrival and the first check of the key.
+		// The server reads the clock at the request's arrival and for the first check of the key's age; the key
+		// expires after that.
 		if checks++; checks > 2 {
 			return time.Now().Add(claim.KeyLifetime + time.Minute)
 		}
 		return time.Now()
 	}
 	rec := castBallot(t.Context(), srv, key.String())
-	// The claims of an expired key may be gone, so an earlier attempt may have run.
+	// The claims of an expired key may have been deleted from the log, so an earlier attempt may have run.
 	expired := strings.Contains(rec.Body.String(), "keyExpired") && strings.Contains(rec.Body.String(), `"outcome":"unknown"`)
 	if rec.Code != http.StatusConflict || !expired || runs.Load() != 0 {
 		t.Fatalf("got status %d, %d runs: %s; want unknown, keyExpired and no run", rec.Code, runs.Load(), rec.Body)
 	}
 }
 
-// Guards against a ballot that is lost, or runs twice, when its caller leaves before the send and asks again.
+// Guards against a ballot that is lost, or runs twice, when its caller disconnects before the call is sent and then
+// repeats it.
 func TestCallerLeavesBeforeTheSend(t *testing.T) {
 	var runs atomic.Int32
 	srv := newBallotServer(t, func(wri http.ResponseWriter, _ *http.Request) { runs.Add(1); _, _ = io.WriteString(wri, "cast") })
@@ -101,7 +103,8 @@
 	}
 }
 
-// Guards against a second run, or notRun, after an endpoint broke the connection of a call that it had read.
+// Guards against a second run, or the outcome notRun, after an endpoint has read a call and then broken the
+// connection.
 func TestBrokenAnswerIsUnknown(t *testing.T) {
 	var runs atomic.Int32
 	srv := newBallotServer(t, func(http.ResponseWriter, *http.Request) { runs.Add(1); panic(http.ErrAbortHandler) })
@@ -113,8 +116,8 @@
 	}
 }
 
-// Guards against a caller that repeats a ballot, hears notRun from a daemon that knows nothing of the first attempt,
-// and casts the ballot again under a new key.
+// A daemon that has not claimed the key does not know whether an earlier attempt ran, so it must not answer notRun.
+// Guards against a caller that repeats a ballot, gets notRun and casts the ballot again under a new key.
 func TestRefusalWithoutClaimIsUnknown(t *testing.T) {
 	tests := map[string]func(srv *Server){
 		"draining": func(srv *Server) {
@@ -141,7 +144,7 @@
 	}
 }
 
-// Guards against a claim that expires from the log while its key is still accepted.
+// Guards against a key that is still accepted after the log's retention has deleted its claim.
 func TestKeyLifetimeFollowsRetention(t *testing.T) {
 	srv := newBallotServer(t, func(http.ResponseWriter, *http.Request) {})
 	srv.KeyLifetime = claim.Lifetime(time.Minute)
@@ -151,7 +154,7 @@
 	}
 }
 
-// Guards against a caller that resumes a generation at a draining daemon and is told that it was not run.
+// Guards against the outcome notRun for a resume that a draining daemon refuses, since its generation has begun.
 func TestRefusedResumeIsUnknown(t *testing.T) {
 	srv := newBallotServer(t, func(http.ResponseWriter, *http.Request) {})
 	snp := *srv.Board.Snapshot()
--- a/entry/completion.go
+++ b/entry/completion.go
@@ -18,15 +18,17 @@
 
 const (
 	resumeHeader = "Last-Event-ID"
-	// wholePath and a position are the path of a whole answer that a stopping daemon handed over.
+	// wholePath, followed by a position, is the path at which another daemon serves a non-streamed answer that a
+	// stopping daemon handed over.
 	wholePath = "/v1/completions/"
-	// positionValue names the position in that path.
+	// positionValue is the name of the path parameter that holds the position.
 	positionValue = "position"
-	// positionLifetime is how long a caller may resume a stream.
+	// positionLifetime is how long a caller may resume a generation.
 	positionLifetime = time.Hour
-	// bytesPerToken estimates a prompt's tokens from its length.
+	// bytesPerToken is the assumed length of a token, from which a prompt's tokens are estimated.
 	bytesPerToken = 4
-	// prefixBytes is how much of a prompt identifies its prefix for engines' caches.
+	// prefixBytes is the number of leading bytes of a prompt whose digest selects an engine that may have them
+	// cached.
 	prefixBytes = 256
 )
 
@@ -37,11 +39,12 @@
 	MaxTokens int    `json:"maxTokens"`
 	Stream    bool   `json:"stream"`
 	Class     string `json:"class"`
-	// Restart allows a stream to start again after its engine died.
+	// Restart allows a stream to start over with another generation after its engine failed; the tokens sent before
+	// are then void.
 	Restart bool `json:"restart"`
 }
 
-// CompletionResponse is the answer to a request without stream.
+// CompletionResponse is the answer to a request that does not ask for a stream.
 type CompletionResponse struct {
 	ID     string `json:"id"`
 	Model  string `json:"model"`
@@ -49,7 +52,7 @@
 	Tokens int    `json:"tokens"`
 }
 
-// ParseCompletionRequest reads and checks a caller's body.
+// ParseCompletionRequest decodes and validates a caller's body.
 func ParseCompletionRequest(body io.Reader, idx *inventory.Index) (*CompletionRequest, *Refusal) {
 	dec := json.NewDecoder(body)
 	dec.DisallowUnknownFields()
@@ -120,18 +123,19 @@
 	return srv.relay(req.Context(), cal, gen, snk)
 }
 
-// resume attaches to the generation that a position names and sends the rest of its stream.
+// resume attaches to the generation that a position identifies and streams the remaining tokens.
 func (srv *Server) resume(wri http.ResponseWriter, req *http.Request, cal *call) *Refusal {
-	gen, ref := srv.positioned(cal, req.Header.Get(resumeHeader))
+	gen, ref := srv.generationFromPosition(cal, req.Header.Get(resumeHeader))
 	if ref != nil {
 		return ref
 	}
 	return srv.relay(req.Context(), cal, gen, newStreamSink(wri, srv, cal, false))
 }
 
-// resumeWhole attaches to a generation that another daemon handed over and sends its whole answer.
+// resumeWhole attaches to a generation that another daemon handed over and sends the whole answer, from the first
+// token, as one response.
 func (srv *Server) resumeWhole(wri http.ResponseWriter, req *http.Request, cal *call) *Refusal {
-	gen, ref := srv.positioned(cal, req.PathValue(positionValue))
+	gen, ref := srv.generationFromPosition(cal, req.PathValue(positionValue))
 	if ref != nil {
 		return ref
 	}
@@ -139,8 +143,8 @@
 	return srv.relay(req.Context(), cal, gen, newWholeSink(wri, srv, gen))
 }
 
-// positioned returns the generation that a position of the calling team names.
-func (srv *Server) positioned(cal *call, serialized string) (*generation, *Refusal) {
+// generationFromPosition verifies a position and returns its generation. It refuses positions of other teams.
+func (srv *Server) generationFromPosition(cal *call, serialized string) (*generation, *Refusal) {
 	pos, err := srv.Signer.Parse(srv.Now(), serialized)
 	if err != nil {
 		return nil, unknown(routing.CodeBadPosition, "the position can't be resumed: %v", err)
--- a/entry/follow.go
+++ b/entry/follow.go
@@ -9,23 +9,26 @@
 	"papayacroft/endpoint"
 )
 
-// maxBarren is the number of connections in a row that may bring no token before the engine counts as lost.
-const maxBarren = 4
+// maxConnectionsWithoutToken is the number of consecutive connections without a new token after which the engine is
+// considered lost.
+const maxConnectionsWithoutToken = 4
 
-// errCallerGone says that an answer can't be delivered any more.
+// errCallerGone means that the answer can no longer be delivered, because the caller disconnected or the daemon
+// stops.
 var errCallerGone = errors.New("the caller is gone")
 
-// follow delivers events until the end. It returns errCallerGone if the caller left or the daemon stops,
-// and another error if the generation can't be reached any more.
+// follow relays a generation's events to the sink until its end, and reconnects to the engine where needed. It
+// returns errCallerGone if the caller disconnected or the daemon stops, and another error if the generation can no
+// longer be reached.
 func (srv *Server) follow(ctx context.Context, cal *call, gen *generation, stm *endpoint.Stream, snk sink) error {
 	name := gen.endpoint.Name
 	srv.observeStart(gen)
 	defer func() { srv.observeEnd(gen, name) }()
 	if err := snk.begin(gen, cal); err != nil {
 		stm.Close()
-		return srv.left(ctx, cal, gen, snk)
+		return srv.detach(ctx, cal, gen, snk)
 	}
-	for barren := 0; ; {
+	for withoutToken := 0; ; {
 		before := gen.next
 		err := srv.deliver(ctx, gen, stm, snk)
 		if err == nil {
@@ -33,28 +36,29 @@
 			return nil
 		}
 		if errors.Is(err, errCallerGone) {
-			return srv.left(ctx, cal, gen, snk)
+			return srv.detach(ctx, cal, gen, snk)
 		}
 		cal.logger.WithError(err).WithFields(logrus.Fields{"generation": gen.id, "next": gen.next}).Info("stream interrupted")
-		barren++
+		withoutToken++
 		if gen.next > before {
-			barren = 0
+			withoutToken = 0
 		}
-		if stm, err = srv.reconnect(ctx, cal, gen, barren, err); err != nil {
+		if stm, err = srv.reconnect(ctx, cal, gen, withoutToken, err); err != nil {
 			if errors.Is(err, errCallerGone) {
-				return srv.left(ctx, cal, gen, snk)
+				return srv.detach(ctx, cal, gen, snk)
 			}
 			return err
 		}
 	}
 }
 
-// reconnect attaches again, or returns why the generation counts as lost.
-func (srv *Server) reconnect(ctx context.Context, cal *call, gen *generation, barren int, broken error) (*endpoint.Stream, error) {
+// reconnect attaches to the generation again, or returns why the generation is considered lost. broken is the error
+// that ended the last connection.
+func (srv *Server) reconnect(ctx context.Context, cal *call, gen *generation, withoutToken int, broken error) (*endpoint.Stream, error) {
 	brokenAt, err := srv.Now(), broken
 	srv.Metrics.Attaches.Inc()
 	var stm *endpoint.Stream
-	if barren < maxBarren && (barren == 0 || pause(ctx, attachPause)) {
+	if withoutToken < maxConnectionsWithoutToken && (withoutToken == 0 || pause(ctx, attachPause)) {
 		stm, err = srv.attach(ctx, cal, gen)
 	}
 	if ctx.Err() != nil {
@@ -73,11 +77,12 @@
 	return stm, nil
 }
 
-// deliver hands one connection's events to the sink and closes the connection.
+// deliver passes one connection's events to the sink and closes the connection at the end.
 func (srv *Server) deliver(ctx context.Context, gen *generation, stm *endpoint.Stream, snk sink) error {
 	defer stm.Close()
 	defer context.AfterFunc(ctx, stm.Interrupt)()
-	// Tokens that arrive together leave together; none waits while the engine is awaited, or after an error.
+	// Tokens that arrive together are sent together. The buffer is flushed before each wait for the engine and after
+	// an error, so that no token is held back.
 	flush := func() error {
 		if snk.flush() != nil {
 			return errCallerGone
@@ -100,7 +105,8 @@
 			return nil
 		}
 		if gen.maxTokens > 0 && evt.Index >= gen.maxTokens {
-			// An engine that ignores the bound would fill the memory of an answer that is not streamed.
+			// If an engine ignored maxTokens, a non-streamed answer would grow in this daemon's memory without a
+			// bound.
 			return &endpoint.Error{Endpoint: gen.endpoint.Name, Reason: endpoint.ReasonMismatch, Begun: endpoint.MayHaveBegun}
 		}
 		if err := snk.token(evt); err != nil {
@@ -112,10 +118,11 @@
 	}
 }
 
-// left keeps the generation for a while if its caller may come back; a stopping daemon leaves it to others.
-func (srv *Server) left(ctx context.Context, cal *call, gen *generation, snk sink) error {
+// detach stops following a generation whose caller disconnected and has it cancelled, after a delay if the caller can
+// resume it. A stopping daemon does not cancel it, because the caller resumes it through another daemon.
+func (srv *Server) detach(ctx context.Context, cal *call, gen *generation, snk sink) error {
 	srv.Quarantine.Leave(gen.id)
-	if !isEnding(ctx) {
+	if !isStopping(ctx) {
 		srv.abandon(cal, gen, snk.resumable())
 	}
 	return errCallerGone
--- a/entry/generation.go
+++ b/entry/generation.go
@@ -18,17 +18,18 @@
 )
 
 const (
-	// startAttempts is the number of engines that one request may use up.
+	// startAttempts is the number of engines that may fail one request before it is refused.
 	startAttempts = 3
-	// fullPause is the time between two decisions while every engine is full.
+	// fullPause is the pause before the next admission attempt while no engine takes the request.
 	fullPause = 100 * time.Millisecond
-	// apartWait bounds one wait of a suspect, whose candidates change as other suspects come and go.
-	apartWait = time.Second
-	// digestBytes is the length of a content digest before encoding.
+	// suspectWait bounds one admission wait of a request that is suspected of crashing engines. The engines that it
+	// must avoid are then looked up again, because other suspects start and end meanwhile.
+	suspectWait = time.Second
+	// digestBytes is the length of a content digest before its hex encoding.
 	digestBytes = 12
 )
 
-// generation is one answer in the making.
+// generation is the state of one answer that an engine generates.
 type generation struct {
 	id       string
 	body     *CompletionRequest
@@ -39,7 +40,7 @@
 	class    string
 	model    string
 	deadline time.Time
-	// waitUntil bounds the wait for an engine over all tries.
+	// waitUntil is the end of the wait for an engine, over all tries together.
 	waitUntil time.Time
 	pauses    backoff.BackOff
 	attempts  int
@@ -48,11 +49,11 @@
 	next int
 	// begun is true if an engine may have begun this request, in this try or an earlier one.
 	begun bool
-	// uncertain is true if the last try got no answer.
+	// uncertain is true if the last start got no answer, so that the engine may have begun the generation.
 	uncertain bool
-	// admission is the accounting of the generation at its engine.
+	// admission is what the generation holds at its engine; it is nil if it holds nothing.
 	admission *admitted
-	// complete is true once the engine has ended the generation by itself.
+	// complete is true once the engine has reported the end of the generation.
 	complete bool
 	// maxTokens bounds the answer; 0 means that the bound is not known.
 	maxTokens int
@@ -75,7 +76,7 @@
 	}
 }
 
-// digest identifies the content that an engine runs, whoever sends it.
+// digest identifies the content that an engine runs, independently of the team that sends it.
 func (req *CompletionRequest) digest() string {
 	sum := sha256.New()
 	fmt.Fprintf(sum, "%s\x00%d\x00%s", req.Model, req.MaxTokens, req.Prompt)
@@ -89,7 +90,7 @@
 	}
 }
 
-// refusal keeps a refusal honest: a request that an engine may have begun is never reported as not run.
+// refusal changes the outcome notRun to unknown if an engine may have begun the request.
 func (gen *generation) refusal(ref *Refusal) *Refusal {
 	if gen.begun && ref.Outcome == OutcomeNotRun {
 		return &Refusal{
@@ -102,39 +103,41 @@
 
 // relay delivers a generation to a sink, starting it or attaching to it as needed.
 func (srv *Server) relay(ctx context.Context, cal *call, gen *generation, snk sink) *Refusal {
-	ctx, cancel := srv.lifecycle.untilEnding(ctx)
+	ctx, cancel := srv.lifecycle.untilStop(ctx)
 	defer cancel()
 	defer snk.close()
 	gen.timing = newTiming(srv.Now(), srv.Metrics, gen.class, gen.model)
 	for {
 		stm, ref := srv.open(ctx, cal, gen)
 		if ref != nil {
-			return srv.end(snk, gen.refusal(ref))
+			return srv.reportRefusal(snk, gen.refusal(ref))
 		}
 		lost := srv.follow(ctx, cal, gen, stm, snk)
-		if errors.Is(lost, errCallerGone) && isEnding(ctx) {
-			return srv.stop(cal, gen, snk)
+		if errors.Is(lost, errCallerGone) && isStopping(ctx) {
+			return srv.endForShutdown(cal, gen, snk)
 		}
 		if lost == nil || errors.Is(lost, errCallerGone) {
 			return nil
 		}
 		if ref := srv.prepareRestart(ctx, cal, gen, snk, lost); ref != nil {
-			return srv.end(snk, gen.refusal(ref))
+			return srv.reportRefusal(snk, gen.refusal(ref))
 		}
 	}
 }
 
-// end reports a refusal through the sink if the answer has begun.
-func (srv *Server) end(snk sink, ref *Refusal) *Refusal {
+// reportRefusal writes a refusal to the sink if the answer has begun, and returns it to be sent as a response
+// otherwise.
+func (srv *Server) reportRefusal(snk sink, ref *Refusal) *Refusal {
 	if snk.fail(ref) {
 		return nil
 	}
 	return ref
 }
 
-// stop ends an answer because the daemon stops; its generation goes on for the caller's resume elsewhere.
-func (srv *Server) stop(cal *call, gen *generation, snk sink) *Refusal {
-	cal.logger.WithField("generation", gen.id).Info("answer ended because the daemon stops")
+// endForShutdown ends an answer because the daemon stops. The generation goes on if the sink can hand it over to
+// another daemon, and is cancelled otherwise.
+func (srv *Server) endForShutdown(cal *call, gen *generation, snk sink) *Refusal {
+	cal.logger.WithField("generation", gen.id).Info("answer ended because the daemon is stopping")
 	if ref, ok := snk.reattach(); ok {
 		return ref
 	}
@@ -142,11 +145,11 @@
 	return unknown(routing.CodeDraining, "this entry daemon shut down before the answer was complete")
 }
 
-// prepareRestart clears the way for another try on another engine, or says why there is none.
+// prepareRestart prepares another try on another engine, or returns the refusal that ends the answer.
 func (srv *Server) prepareRestart(ctx context.Context, cal *call, gen *generation, snk sink, lost error) *Refusal {
 	srv.Tracker.Failed(srv.Now(), gen.endpoint.Name)
 	if edpErr, ok := endpoint.AsError(lost); !ok || edpErr.Reason != endpoint.ReasonUnknownID {
-		// The engine may still run a generation that can't be reached.
+		// The engine may still run the generation although this daemon can't reach it.
 		srv.abandon(cal, gen, false)
 	}
 	if gen.resumed {
@@ -167,7 +170,9 @@
 	return nil
 }
 
-// spendRetry excludes an engine that failed more than to be reached, and takes another try from the budget.
+// spendRetry takes one retry from the team's budget, and waits for it until the request's deadline at most. With
+// failed set, the engine is excluded from further tries and counted in attempts; an engine that could not be reached
+// is not.
 func (srv *Server) spendRetry(ctx context.Context, cal *call, gen *generation, failed bool) *Refusal {
 	if ref := srv.checkQuarantine(gen); ref != nil {
 		return ref
@@ -185,17 +190,17 @@
 			return notRun(routing.CodeOverloaded, "an engine failed and the team's budget for retries is used up")
 		}
 		if !pause(ctx, gen.pauses.NextBackOff()) {
-			return leftRefusal(ctx)
+			return cancelledRefusal(ctx)
 		}
 	}
 	srv.Metrics.Retries.Inc()
 	if !pause(ctx, gen.pauses.NextBackOff()) {
-		return leftRefusal(ctx)
+		return cancelledRefusal(ctx)
 	}
 	return nil
 }
 
-// checkQuarantine refuses a request that was condemned for crashing engines.
+// checkQuarantine refuses a request that is quarantined for crashing engines.
 func (srv *Server) checkQuarantine(gen *generation) *Refusal {
 	until, ok := srv.Quarantine.Condemned(gen.digest)
 	if !ok {
@@ -220,13 +225,13 @@
 	if edpErr, ok := endpoint.AsError(err); ok && edpErr.Reason == endpoint.ReasonBeyondEnd {
 		return nil, unknown(routing.CodeBadPosition, "Last-Event-ID names a token that does not exist")
 	}
-	if isEnding(ctx) {
+	if isStopping(ctx) {
 		return nil, notRun(routing.CodeDraining, "this entry daemon is shutting down; resume through another one")
 	}
 	return nil, unknown(routing.CodeGenerationLost, "the generation can't be reached any more: %v", err)
 }
 
-// pause waits and reports whether the context is still alive.
+// pause waits for a duration and returns false if the context ends first.
 func pause(ctx context.Context, dur time.Duration) bool {
 	tmr := time.NewTimer(dur)
 	defer tmr.Stop()
@@ -238,8 +243,9 @@
 	}
 }
 
-func leftRefusal(ctx context.Context) *Refusal {
-	if isEnding(ctx) {
+// cancelledRefusal returns the refusal of a request whose context ended before an endpoint took it.
+func cancelledRefusal(ctx context.Context) *Refusal {
+	if isStopping(ctx) {
 		return notRun(routing.CodeDraining, "this entry daemon shut down before an endpoint took the request; send the request again")
 	}
 	return notRun(routing.CodeDeadlineExceeded, "the caller left before an endpoint took the request")
--- a/entry/lifecycle.go
+++ b/entry/lifecycle.go
@@ -15,10 +15,10 @@
 // bodyTimeout bounds the time that a caller takes to send its body.
 const bodyTimeout = 30 * time.Second
 
-// errEnding is the cause of contexts that end because the daemon stops.
-var errEnding = errors.New("the daemon stops")
+// errStopping is the cancellation cause of contexts that end because the daemon stops.
+var errStopping = errors.New("the daemon stops")
 
-// lifecycle counts the calls in flight and tells them when the daemon stops.
+// lifecycle counts requests in flight and cancels their contexts when the daemon stops.
 type lifecycle struct {
 	inFlight atomic.Int64
 	running  context.Context
@@ -35,33 +35,33 @@
 	return srv.lifecycle.inFlight.Load()
 }
 
-// EndStreams ends every answer that can be had elsewhere: streams with a reattach event, others with a redirect.
-// Calls that may not be repeated go on if they have been sent.
+// EndStreams ends every answer that the caller can get through another daemon: streams with a reattach event, other
+// answers with a redirect. Calls that may not be repeated go on if they have been sent to an endpoint.
 func (srv *Server) EndStreams() {
 	srv.lifecycle.end()
 }
 
-// EndCalls ends the calls that may not be repeated and have no answer yet; their outcome is unknown.
+// EndCalls aborts the calls that may not be repeated and have no answer yet; their callers get the outcome unknown.
 func (srv *Server) EndCalls() {
 	srv.calls.end()
 }
 
-// untilEnding returns a context that also ends when the daemon stops, then with the cause errEnding.
-func (lcy *lifecycle) untilEnding(ctx context.Context) (context.Context, context.CancelFunc) {
+// untilStop returns a context that also ends, with the cause errStopping, when the daemon stops.
+func (lcy *lifecycle) untilStop(ctx context.Context) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancelCause(ctx)
-	stop := context.AfterFunc(lcy.running, func() { cancel(errEnding) })
+	stop := context.AfterFunc(lcy.running, func() { cancel(errStopping) })
 	return ctx, func() {
 		stop()
 		cancel(context.Canceled)
 	}
 }
 
-func isEnding(ctx context.Context) bool {
-	return errors.Is(context.Cause(ctx), errEnding)
+func isStopping(ctx context.Context) bool {
+	return errors.Is(context.Cause(ctx), errStopping)
 }
 
 // track counts requests in flight and refuses oversized headers.
-// The HTTP server's own bound lies higher, because it answers without a refusal body.
+// The HTTP server's own limit is higher, because the server would answer without a refusal body.
 func (srv *Server) track(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(wri http.ResponseWriter, req *http.Request) {
 		srv.lifecycle.inFlight.Add(1)
@@ -84,7 +84,7 @@
 	return total
 }
 
-// withBodyDeadline runs a function that reads the body, and bounds its time.
+// withBodyDeadline runs a function that reads the request body, under a read deadline of bodyTimeout.
 func withBodyDeadline(wri http.ResponseWriter, now time.Time, read func()) error {
 	ctl := http.NewResponseController(wri)
 	if err := ctl.SetReadDeadline(now.Add(bodyTimeout)); err != nil {
--- a/entry/refusal.go
+++ b/entry/refusal.go
@@ -19,14 +19,15 @@
 	OutcomeUnknown Outcome = "unknown"
 )
 
-// Refusal is the body of every refusal.
+// Refusal is the response body of a refused request.
 type Refusal struct {
 	Outcome           Outcome      `json:"outcome"`
 	Code              routing.Code `json:"code"`
 	Message           string       `json:"message"`
 	RetryAfterSeconds int          `json:"retryAfterSeconds,omitempty"`
 
-	// location is where another daemon answers; the status is then redirect.
+	// location, if set, is the path that the caller requests from another daemon; redirect is then the response's
+	// status.
 	location string
 	redirect int
 	// unread is true if the request's body did not arrive whole.
@@ -48,11 +49,11 @@
 	return &Refusal{Outcome: OutcomeUnknown, Code: code, Message: fmt.Sprintf(format, args...), RetryAfterSeconds: retryAfterSeconds[code]}
 }
 
-// withEarlierAttempts turns notRun into unknown where a caller is likely to have sent the key before:
-// a daemon that has not claimed the key can't tell whether an earlier attempt ran.
+// withEarlierAttempts turns notRun into unknown for temporary refusals, after which callers send the same key again.
+// A daemon that has not claimed the key can't tell whether an earlier attempt with it ran.
 func (ref *Refusal) withEarlierAttempts() *Refusal {
-	passes := retryAfterSeconds[ref.Code] != 0 || ref.unread
-	if ref.Outcome != OutcomeNotRun || !passes {
+	temporary := retryAfterSeconds[ref.Code] != 0 || ref.unread
+	if ref.Outcome != OutcomeNotRun || !temporary {
 		return ref
 	}
 	adapted := *ref
@@ -61,14 +62,14 @@
 	return &adapted
 }
 
-// ofResume turns notRun into unknown, since the generation of a position has begun.
-func (ref *Refusal) ofResume() *Refusal {
+// forResume turns notRun into unknown, since the generation of a position has begun.
+func (ref *Refusal) forResume() *Refusal {
 	adapted := *ref
 	adapted.Outcome = OutcomeUnknown
 	return &adapted
 }
 
-// handedOver sends the caller of a whole answer to another daemon if this one stops.
+// handedOver redirects the caller of a non-streamed answer to another daemon if this one is draining.
 func (ref *Refusal) handedOver(serialized string) *Refusal {
 	if ref.Code != routing.CodeDraining {
 		return ref
@@ -76,14 +77,14 @@
 	return ref.redirected(http.StatusSeeOther, wholePath+url.PathEscape(serialized))
 }
 
-// redirected sends the caller to another daemon.
+// redirected returns the refusal with a redirect to a path that another daemon serves.
 func (ref *Refusal) redirected(status int, location string) *Refusal {
 	adapted := *ref
 	adapted.location, adapted.redirect = location, status
 	return &adapted
 }
 
-// retryAfterSeconds holds the codes for which waiting helps.
+// retryAfterSeconds holds the time to wait before a retry, for the codes of temporary conditions.
 var retryAfterSeconds = map[routing.Code]int{
 	routing.CodeNoConfiguration:  2,
 	routing.CodeNoEndpoint:       2,
@@ -119,14 +120,14 @@
 	routing.CodeGenerationLost:   http.StatusGone,
 }
 
-// write sends the refusal as a response of its own.
+// write sends the refusal as an HTTP response.
 func (ref *Refusal) write(wri http.ResponseWriter) {
 	wri.Header().Set("Content-Type", "application/json")
 	if ref.RetryAfterSeconds > 0 {
 		wri.Header().Set("Retry-After", strconv.Itoa(ref.RetryAfterSeconds))
 	}
 	if ref.Code == routing.CodeDraining || ref.location != "" {
-		// A connection that is kept would bring the next request to this daemon again.
+		// On a keep-alive connection the next request would reach this daemon again.
 		wri.Header().Set("Connection", "close")
 	}
 	status := statusCodes[ref.Code]
--- a/entry/relay_bench_test.go
+++ b/entry/relay_bench_test.go
@@ -25,23 +25,24 @@
 	"papayacroft/routing"
 )
 
-// openQuarantine suspects no request.
-type openQuarantine struct{}
+// noQuarantine is a Quarantine that suspects and refuses no request.
+type noQuarantine struct{}
 
-func (openQuarantine) Condemned(string) (time.Time, bool) { return time.Time{}, false }
-func (openQuarantine) Suspect(string) bool                { return false }
-func (openQuarantine) Occupied(string) []string           { return nil }
-func (openQuarantine) Begin(string, string, string) bool  { return true }
-func (openQuarantine) Closed() map[string]bool            { return nil }
-func (openQuarantine) Attach(string, string, string)      {}
-func (openQuarantine) Confirm(context.Context, string, int, func(context.Context) bool) bool {
+func (noQuarantine) Condemned(string) (time.Time, bool) { return time.Time{}, false }
+func (noQuarantine) Suspect(string) bool                { return false }
+func (noQuarantine) Occupied(string) []string           { return nil }
+func (noQuarantine) Begin(string, string, string) bool  { return true }
+func (noQuarantine) Closed() map[string]bool            { return nil }
+func (noQuarantine) Attach(string, string, string)      {}
+func (noQuarantine) Confirm(context.Context, string, int, func(context.Context) bool) bool {
 	return true
 }
-func (openQuarantine) Complete(string)         {}
-func (openQuarantine) Leave(string)            {}
-func (openQuarantine) Crash(string, time.Time) {}
+func (noQuarantine) Complete(string)         {}
+func (noQuarantine) Leave(string)            {}
+func (noQuarantine) Crash(string, time.Time) {}
 
-// fakeEngine streams tokens as fast as it can; with a channel, it sends a token for each receipt of the one before.
+// fakeEngine streams tokens as fast as it can. If received is set, it sends a token only after the reader has
+// confirmed the previous one on that channel.
 type fakeEngine struct{ received chan struct{} }
 
 func (eng *fakeEngine) serve(wri http.ResponseWriter, req *http.Request) {
@@ -62,7 +63,7 @@
 	_, _ = fmt.Fprintf(wri, "event: done\ndata: {\"generation\":%q,\"tokens\":%d}\n\n", start.ID, start.MaxTokens)
 }
 
-// decodeStart returns a start without tokens if the body is not valid.
+// decodeStart decodes a start request; an invalid body gives a request for no tokens.
 func decodeStart(req *http.Request) endpoint.StartRequest {
 	var start endpoint.StartRequest
 	_ = json.NewDecoder(req.Body).Decode(&start)
@@ -84,19 +85,19 @@
 		Classes:   map[string]inventory.Class{"writeUp": {Name: "writeUp", Worth: 1, Deadline: document.Duration(time.Minute)}},
 	})}}
 	srv.Tracker, srv.Endpoints, srv.Logger = routing.NewTracker(), endpoint.NewClient(), logger
-	srv.Signer, srv.Retries, srv.Quarantine = position.NewSigner([]byte("key")), retry.NewBudgets(), openQuarantine{}
+	srv.Signer, srv.Retries, srv.Quarantine = position.NewSigner([]byte("key")), retry.NewBudgets(), noQuarantine{}
 	srv.BuildAdmission()
 	srv.Tracker.Report(time.Now(), "a", endpoint.Load{At: time.Now(), CapacityTokens: 1 << 40})
 	return srv
 }
 
-// relayCost is what reading one way took.
+// relayCost is the cost of reading answers in one way, directly from the engine or through the server.
 type relayCost struct {
 	wall, processor, first time.Duration
 	allocations            uint64
 }
 
-// readTokens reads answers of the given length and returns what the whole process spent.
+// readTokens reads answers of the given length and returns the cost for the whole process.
 func readTokens(b *testing.B, client *http.Client, url, body string, requests, tokens int, received chan struct{}) relayCost {
 	b.Helper()
 	var before, after runtime.MemStats
@@ -147,8 +148,10 @@
 }
 
 // BenchmarkRelay compares tokens that a caller reads through the server with the same tokens read from the engine.
-// Processor time counts the whole process; what the relayed way takes more is the relay's and its second connection's.
-// Burst buffers many tokens at once, single has one token in flight as with a decoding engine.
+// Processor time is that of the whole process, so the difference between the two ways is the cost of the relay and of
+// its second connection.
+// The case burst buffers many tokens at once; single has one token in flight, as with a decoding engine; short reads
+// many answers of one token.
 func BenchmarkRelay(b *testing.B) {
 	for _, tcs := range []struct {
 		name             string
@@ -166,12 +169,12 @@
 			defer web.Close()
 			direct := fmt.Sprintf(`{"id":"00000000-0000-0000-0000-000000000000","model":"writer","prompt":"x","maxTokens":%d}`, tcs.tokens)
 			relayed := fmt.Sprintf(`{"model":"writer","class":"writeUp","prompt":"x","maxTokens":%d,"stream":true}`, tcs.tokens)
-			var near, far relayCost
+			var directCost, relayedCost relayCost
 			for b.Loop() {
-				near.add(readTokens(b, engine.Client(), engine.URL+"/generations", direct, tcs.requests, tcs.tokens, tcs.received))
-				far.add(readTokens(b, web.Client(), web.URL+"/v1/completions", relayed, tcs.requests, tcs.tokens, tcs.received))
+				directCost.add(readTokens(b, engine.Client(), engine.URL+"/generations", direct, tcs.requests, tcs.tokens, tcs.received))
+				relayedCost.add(readTokens(b, web.Client(), web.URL+"/v1/completions", relayed, tcs.requests, tcs.tokens, tcs.received))
 			}
-			report(b, near, far, float64(b.N*tcs.requests), float64(tcs.tokens))
+			report(b, directCost, relayedCost, float64(b.N*tcs.requests), float64(tcs.tokens))
 		})
 	}
 }
@@ -183,14 +186,14 @@
 	cst.allocations += other.allocations
 }
 
-func report(b *testing.B, near, far relayCost, requests, tokens float64) {
+func report(b *testing.B, directCost, relayedCost relayCost, requests, tokens float64) {
 	all := requests * tokens
-	b.ReportMetric(float64(far.wall)/all, "ns/token")
-	b.ReportMetric(float64(far.processor)/all, "cpu-ns/token")
-	b.ReportMetric(float64(far.processor-near.processor)/all, "relay-cpu-ns/token")
-	b.ReportMetric(float64(far.allocations)/all, "allocs/token")
-	b.ReportMetric(float64(far.wall)/float64(near.wall), "wall-ratio")
-	b.ReportMetric(float64(far.processor)/float64(near.processor), "cpu-ratio")
-	b.ReportMetric(float64(far.first)/requests, "ns/first-token")
-	b.ReportMetric(float64(far.first)/float64(near.first), "first-token-ratio")
+	b.ReportMetric(float64(relayedCost.wall)/all, "ns/token")
+	b.ReportMetric(float64(relayedCost.processor)/all, "cpu-ns/token")
+	b.ReportMetric(float64(relayedCost.processor-directCost.processor)/all, "relay-cpu-ns/token")
+	b.ReportMetric(float64(relayedCost.allocations)/all, "allocs/token")
+	b.ReportMetric(float64(relayedCost.wall)/float64(directCost.wall), "wall-ratio")
+	b.ReportMetric(float64(relayedCost.processor)/float64(directCost.processor), "cpu-ratio")
+	b.ReportMetric(float64(relayedCost.first)/requests, "ns/first-token")
+	b.ReportMetric(float64(relayedCost.first)/float64(directCost.first), "first-token-ratio")
 }
--- a/entry/relay_test.go
+++ b/entry/relay_test.go
@@ -15,7 +15,7 @@
 	"papayacroft/inventory"
 )
 
-// bufferSink counts the tokens that are not flushed.
+// bufferSink is a sink that counts its tokens, and those of them that have not been flushed.
 type bufferSink struct {
 	wholeSink
 	tokens, unsent int
@@ -32,13 +32,14 @@
 	return nil
 }
 
-// readRelayed reads an answer through the server and signals each token.
+// readRelayed reads an answer through the server and confirms each token on the channel received. It returns the
+// indexes of the tokens and the last event.
 func readRelayed(t *testing.T, engine http.HandlerFunc, tokens int, received chan struct{}) string {
 	t.Helper()
 	eng := httptest.NewServer(engine)
 	defer eng.Close()
 	srv := newRelayServer(eng.Listener.Addr().String(), tokens)
-	// A token that is held back must not come with a new connection after silence.
+	// With a short silence time-out a reconnect would deliver a token that the server held back, and hide the fault.
 	srv.Endpoints.Silence = time.Hour
 	web := httptest.NewServer(srv.Handler())
 	defer web.Close()
@@ -68,7 +69,7 @@
 	return got
 }
 
-// Guards against a token that waits in the daemon while the engine is silent.
+// Guards against a token that stays in the daemon's buffer until the engine sends the next one.
 func TestTokenIsNotHeldBack(t *testing.T) {
 	received := make(chan struct{})
 	if got, want := readRelayed(t, (&fakeEngine{received}).serve, 3, received), "0 1 2 event: done"; got != want {
@@ -76,7 +77,7 @@
 	}
 }
 
-// Guards against a token that waits in the daemon while it attaches again after a wrong event.
+// Guards against a token that stays in the daemon's buffer while the daemon reconnects after an invalid event.
 func TestTokenIsNotHeldBackByReconnect(t *testing.T) {
 	eng := httptest.NewServer(http.HandlerFunc(func(wri http.ResponseWriter, _ *http.Request) {
 		_, _ = io.WriteString(wri, "data: {\"generation\":\"g\",\"index\":0}\n\ndata: {\"generation\":\"g\",\"index\":5}\n\n")
--- a/entry/retries.go
+++ b/entry/retries.go
@@ -9,14 +9,15 @@
 	"papayacroft/retry"
 )
 
-// retries bounds the tries of one repeatable call to a service.
+// retries limits and delays the retries of one repeatable call to a service.
 type retries struct {
 	server *Server
 	key    retry.Key
 	pauses backoff.BackOff
 }
 
-// beginRetries counts the call in its budget and bounds all of its tries by its class's deadline.
+// beginRetries credits the call to the team's retry budget and returns a context that bounds all tries of the call by
+// its class's deadline.
 func (srv *Server) beginRetries(ctx context.Context, cal *call, svc *serviceCall) (context.Context, context.CancelFunc, *retries) {
 	ret := &retries{server: srv, key: retry.Key{Team: cal.team, Pool: svc.pool}, pauses: retry.NewPauses()}
 	srv.Retries.Request(srv.Now(), ret.key)
@@ -25,7 +26,7 @@
 	return ctx, cancel, ret
 }
 
-// next takes another try from the budget, pauses, and reports whether the call may be sent again.
+// next takes one retry from the budget, waits for the back-off and reports whether the call may be sent again.
 func (ret *retries) next(ctx context.Context) bool {
 	if !ret.server.Retries.Spend(ret.server.Now(), ret.key) {
 		return false
--- a/entry/server.go
+++ b/entry/server.go
@@ -1,4 +1,4 @@
-// Package entry serves callers: it authenticates them, decides, and relays answers.
+// Package entry serves callers: it authenticates them, routes their requests to endpoints and relays the answers.
 package entry
 
 import (
@@ -26,11 +26,12 @@
 	MaxBodyBytes = 1 << 20
 	// MaxHeaderBytes bounds a caller's request headers.
 	MaxHeaderBytes = 16 << 10
-	// DrainGrace is the time for which a draining daemon still takes requests, so that the balancer can notice.
+	// DrainGrace is how long a draining daemon still accepts requests, so that the load balancer can notice the
+	// drain.
 	DrainGrace = 2 * time.Second
 )
 
-// Board gives the newest snapshot of the control state.
+// Board provides the newest snapshot of the control state.
 type Board interface {
 	Snapshot() *blackboard.Snapshot
 }
@@ -53,18 +54,19 @@
 	Logger     logrus.FieldLogger
 	Metrics    *metrics.Metrics
 	Now        func() time.Time
-	// OnModelAsked, if set, learns of each request for a generation.
+	// OnModelAsked, if set, is called for each request for a generation.
 	OnModelAsked func(idx *inventory.Index, team inventory.TeamRef, model string)
 
-	engines   *waitingRoom
-	services  *waitingRoom
+	engines   *waitQueue
+	services  *waitQueue
 	sessions  *sessions
 	lifecycle *lifecycle
-	// calls ends later than lifecycle, for the calls whose outcome only this daemon can learn.
+	// calls ends later than lifecycle; it covers the calls that may not be repeated, whose outcome only this daemon
+	// can learn.
 	calls *lifecycle
 }
 
-// NewServer returns a server that uses the present time.
+// NewServer returns a server that uses the system clock.
 func NewServer() *Server {
 	return &Server{Now: time.Now, KeyLifetime: claim.KeyLifetime, Metrics: metrics.NewMetrics(), sessions: newSessions(), lifecycle: newLifecycle(), calls: newLifecycle()}
 }
@@ -79,7 +81,7 @@
 	return srv.track(mux)
 }
 
-// call is one caller's request on its way through the server.
+// call is the state of one caller's request.
 type call struct {
 	id       string
 	team     inventory.TeamRef
@@ -116,15 +118,17 @@
 	}
 }
 
-// adaptOutcome keeps notRun honest where an earlier request may have run what this one asks for.
+// adaptOutcome turns notRun into unknown where an earlier request may have run the same work: for resumes, and for
+// idempotency keys that this request has not claimed. It redirects the resume of a non-streamed answer if the daemon
+// is draining.
 func adaptOutcome(req *http.Request, cal *call, ref *Refusal) *Refusal {
 	switch {
 	case ref == nil:
 		return nil
 	case req.PathValue(positionValue) != "":
-		return ref.ofResume().handedOver(req.PathValue(positionValue))
+		return ref.forResume().handedOver(req.PathValue(positionValue))
 	case req.Method == http.MethodGet && req.Header.Get(resumeHeader) != "":
-		return ref.ofResume()
+		return ref.forResume()
 	case !cal.claimed && req.Header.Get(idempotencyHeader) != "":
 		return ref.withEarlierAttempts()
 	default:
@@ -163,8 +167,8 @@
 	return cal, srv.checkLimits(now, cal)
 }
 
-// checkLimits takes a permit under the limits of the team and its organisation.
-// Refusals are counted; a log line for each would make a flood expensive.
+// checkLimits acquires a permit under the limits of the team and its organisation.
+// These refusals are only counted, since a log line for each would make a flood of requests expensive.
 func (srv *Server) checkLimits(now time.Time, cal *call) *Refusal {
 	if srv.Limits == nil {
 		return nil
@@ -179,7 +183,7 @@
 	return nil
 }
 
-// view is what decisions are based on now.
+// view returns the state that routing decisions are based on.
 func (srv *Server) view() routing.View {
 	vew := routing.View{Index: srv.Board.Snapshot().Index, Statuses: srv.Tracker, FailureDomain: srv.FailureDomain}
 	if srv.Quarantine != nil {
@@ -188,7 +192,7 @@
 	return vew
 }
 
-// logDecision writes the one log line of a decision.
+// logDecision logs a routing decision in one line.
 func (cal *call) logDecision(req routing.Request, dec routing.Decision, waited time.Duration) {
 	choice := "none"
 	if dec.Endpoint != nil {
@@ -205,7 +209,7 @@
 	return endpoint.Target{Name: edp.Name, Address: edp.Address}
 }
 
-// bodyRefusal tells an oversized body from one that could not be read.
+// bodyRefusal returns the refusal of a request body that is too large, could not be read or is not valid JSON.
 func bodyRefusal(err error) *Refusal {
 	var tooLarge *http.MaxBytesError
 	if errors.As(err, &tooLarge) {
--- a/entry/service.go
+++ b/entry/service.go
@@ -32,7 +32,7 @@
 	body      []byte
 }
 
-// callService passes a call through to a plain service.
+// callService forwards a call to a plain service and sends its answer to the caller.
 func (srv *Server) callService(wri http.ResponseWriter, req *http.Request, cal *call) *Refusal {
 	pool, path := req.PathValue("pool"), "/"+req.PathValue("path")
 	if cal.snapshot.Index.Configuration.Pools[pool].Kind != inventory.PoolKindService {
@@ -57,14 +57,14 @@
 		return notRun(routing.CodeBadRequest, "request body could not be read in time: %v", err)
 	}
 	svc := &serviceCall{pool: pool, path: path, operation: opr, method: req.Method, query: req.URL.RawQuery, header: req.Header, body: body}
-	ctx, cancel := srv.lifecycle.untilEnding(req.Context())
+	ctx, cancel := srv.lifecycle.untilStop(req.Context())
 	defer cancel()
 	var ans *answer
 	var ref *Refusal
 	if opr.Repeatable {
 		ans, ref = srv.callRepeatable(ctx, cal, svc)
-		if ref != nil && isEnding(ctx) {
-			// Nothing was written to the caller, and another run does no harm.
+		if ref != nil && isStopping(ctx) {
+			// Nothing was written to the caller, and a repeatable operation may run again through another daemon.
 			ref = ref.redirected(http.StatusTemporaryRedirect, req.URL.RequestURI())
 		}
 	} else {
@@ -77,7 +77,7 @@
 	return nil
 }
 
-// callRepeatable tries endpoints until one answers.
+// callRepeatable sends the call to one endpoint after another until one answers, for repeatAttempts tries at most.
 func (srv *Server) callRepeatable(ctx context.Context, cal *call, svc *serviceCall) (*answer, *Refusal) {
 	ctx, cancel, ret := srv.beginRetries(ctx, cal, svc)
 	defer cancel()
@@ -95,7 +95,7 @@
 		if err == nil {
 			return ans, nil
 		}
-		if isEnding(ctx) {
+		if isStopping(ctx) {
 			return nil, unknown(routing.CodeDraining, "this entry daemon shut down before the call was answered; repeat it through another one")
 		}
 		last = err
@@ -109,7 +109,7 @@
 	return nil, failure(last)
 }
 
-// send makes one call over a connection of its own, so that the transport never repeats it.
+// send makes one call on a new connection, because the HTTP transport may repeat a request on a reused one.
 func (srv *Server) send(ctx context.Context, cal *call, svc *serviceCall, edp *inventory.Endpoint) (*answer, error) {
 	deadline := time.Duration(cal.snapshot.Index.Configuration.Classes[svc.operation.Class].Deadline)
 	ctx, cancel := context.WithTimeout(ctx, deadline)
@@ -134,7 +134,7 @@
 	return routing.Request{ID: cal.id, Team: cal.team, Pool: svc.pool, Class: svc.operation.Class, Excluded: excluded}
 }
 
-// forwardHeader leaves out credentials and connection headers.
+// forwardHeader returns the headers for the service; the caller's credential and connection headers are left out.
 func (svc *serviceCall) forwardHeader(cal *call) http.Header {
 	hdr := http.Header{}
 	for _, name := range []string{"Content-Type", "Accept", "Accept-Language"} {
--- a/entry/session.go
+++ b/entry/session.go
@@ -10,15 +10,17 @@
 )
 
 const (
-	// abandonDelay is how long a generation without a caller is kept for a resume.
+	// abandonDelay is how long a generation without a reader is kept, so that its caller can resume it.
 	abandonDelay = 30 * time.Second
-	// cancelMargin is the time by which the engine may notice later than the daemon that the reader left.
+	// cancelMargin is added to abandonDelay, because the engine may notice later than the daemon that the reader
+	// disconnected.
 	cancelMargin = time.Second
-	// cancelTimeout bounds the call that cancels a generation nobody waits for.
+	// cancelTimeout bounds one cancel call to an engine.
 	cancelTimeout = 2 * time.Second
 )
 
-// sessions holds the pending cancellations of generations whose callers left.
+// sessions holds a timer for each generation whose caller disconnected; the timer cancels the generation unless the
+// caller resumes it first.
 type sessions struct {
 	mutex   sync.Mutex
 	pending map[string]*time.Timer
@@ -28,7 +30,8 @@
 	return &sessions{pending: map[string]*time.Timer{}}
 }
 
-// abandon runs cancel after a delay, and again until it returns true or a position can't be resumed any more.
+// abandon schedules cancel after abandonDelay, and again until it returns true or the generation's position has
+// expired.
 func (ses *sessions) abandon(generation string, cancel func() bool) {
 	ses.schedule(generation, int(positionLifetime/abandonDelay), cancel)
 }
@@ -40,15 +43,15 @@
 		tmr.Stop()
 	}
 	ses.pending[generation] = time.AfterFunc(abandonDelay+cancelMargin, func() {
-		ses.keep(generation)
+		ses.unschedule(generation)
 		if !cancel() && tries > 1 {
 			ses.schedule(generation, tries-1, cancel)
 		}
 	})
 }
 
-// keep stops a pending cancellation because the caller is back.
-func (ses *sessions) keep(generation string) {
+// unschedule stops the pending cancellation of a generation, if there is one.
+func (ses *sessions) unschedule(generation string) {
 	ses.mutex.Lock()
 	defer ses.mutex.Unlock()
 	if tmr, ok := ses.pending[generation]; ok {
@@ -57,13 +60,13 @@
 	}
 }
 
-// abandon cancels a generation whose caller left, at once if it can't resume and after a while if it can.
-// The later cancellation holds only if no daemon has read the generation in the meantime,
-// since a caller may have resumed through another daemon.
+// abandon cancels a generation whose caller disconnected: at once if the caller can't resume it, and after
+// abandonDelay if it can. The engine refuses the delayed cancellation if any daemon has read the generation in the
+// meantime, since the caller may have resumed through another daemon.
 func (srv *Server) abandon(cal *call, gen *generation, resumable bool) {
 	edp, id := gen.endpoint, gen.id
 	if !resumable {
-		// A stopping daemon waits for what is in flight, the cancellation included.
+		// The cancellation counts as in flight, so that a stopping daemon waits for it.
 		srv.lifecycle.inFlight.Add(1)
 		go func() {
 			defer srv.lifecycle.inFlight.Add(-1)
@@ -74,7 +77,8 @@
 	srv.sessions.abandon(id, func() bool { return srv.cancel(cal, edp, id, abandonDelay) })
 }
 
-// cancel cancels a generation that has had no reader for a while and returns false if it may still run.
+// cancel asks the engine to cancel a generation that has had no reader for the time unreadFor. It returns false if
+// the generation may still run.
 func (srv *Server) cancel(cal *call, edp *inventory.Endpoint, id string, unreadFor time.Duration) bool {
 	ctx, cancel := context.WithTimeout(context.Background(), cancelTimeout)
 	defer cancel()
--- a/entry/sink.go
+++ b/entry/sink.go
@@ -18,39 +18,39 @@
 // writeTimeout bounds one write to a caller; a slower reader is disconnected and may resume.
 const writeTimeout = 30 * time.Second
 
-// quietInterval is the time without an event after which a comment is sent.
-const quietInterval = 5 * time.Second
+// keepaliveInterval is the time without an event after which a keepalive comment is sent.
+const keepaliveInterval = 5 * time.Second
 
 // sink delivers an answer to a caller.
 type sink interface {
 	// begin is called for each generation before its first token.
 	begin(gen *generation, cal *call) error
-	// token delivers a token, at the latest with the next call of flush.
+	// token delivers a token, which may stay buffered until the next call of flush.
 	token(evt endpoint.Event) error
 	flush() error
 	done(tokens int)
 	// fail reports a refusal and returns false if the answer has not begun.
 	fail(ref *Refusal) bool
-	// restartable reports whether what was delivered can be discarded.
+	// restartable reports whether the tokens delivered so far can be discarded.
 	restartable() bool
-	// restart discards what was delivered.
+	// restart discards the tokens delivered so far.
 	restart()
-	// reattach asks the caller to resume elsewhere, with a refusal if nothing was written yet,
-	// and returns false if it can't.
+	// reattach asks the caller to resume through another daemon. It returns a refusal to send if nothing was written
+	// yet, and false if the answer can't be handed over.
 	reattach() (*Refusal, bool)
-	// close ends what runs beside the answer.
+	// close stops the sink's background goroutines.
 	close()
-	// resumable reports whether the caller can come back for the rest.
+	// resumable reports whether the caller can resume the answer after it disconnected.
 	resumable() bool
 }
 
-// wholeSink collects the answer and sends it in one piece.
+// wholeSink collects a non-streamed answer and sends it as one JSON response.
 type wholeSink struct {
 	writer http.ResponseWriter
 	server *Server
 	model  string
 	id     string
-	// resumed is true if the caller has the position already.
+	// resumed is true if the caller already has a position of the generation.
 	resumed bool
 	signed  string
 	text    strings.Builder
@@ -61,10 +61,10 @@
 }
 
 func (snk *wholeSink) begin(gen *generation, cal *call) error {
-	snk.server.sessions.keep(gen.id)
+	snk.server.sessions.unschedule(gen.id)
 	snk.id = gen.id
 	stm := gen.position(cal.team)
-	// The daemon that takes over collects the answer as well and must bound its memory.
+	// A daemon that takes over collects the answer in memory as well and needs the same bound.
 	stm.MaxTokens = gen.maxTokens
 	var err error
 	snk.signed, err = snk.server.Signer.SerializeStream(stm)
@@ -97,7 +97,7 @@
 	snk.text.Reset()
 }
 
-// reattach hands the answer over: nothing was written to the caller, so that another daemon can give the whole.
+// reattach redirects the caller to another daemon, which can send the whole answer because nothing was written yet.
 func (snk *wholeSink) reattach() (*Refusal, bool) {
 	if snk.signed == "" {
 		return nil, false
@@ -123,13 +123,13 @@
 	started      bool
 	delivered    bool
 
-	// mutex guards the writer, which the comment goroutine uses as well.
+	// mutex guards the writer, which the keepalive goroutine uses as well.
 	mutex sync.Mutex
 	// unsent is true while a token may be buffered.
-	unsent   bool
-	quiet    *time.Ticker
-	comments sync.WaitGroup
-	closed   chan struct{}
+	unsent          bool
+	keepaliveTicker *time.Ticker
+	keepaliveDone   sync.WaitGroup
+	closed          chan struct{}
 }
 
 func newStreamSink(wri http.ResponseWriter, srv *Server, cal *call, allowRestart bool) *streamSink {
@@ -137,26 +137,27 @@
 }
 
 func (snk *streamSink) begin(gen *generation, cal *call) error {
-	snk.server.sessions.keep(gen.id)
+	snk.server.sessions.unschedule(gen.id)
 	signed, err := snk.server.Signer.SerializeStream(gen.position(cal.team))
 	if err != nil {
 		return trace.Wrap(err)
 	}
 	snk.signed = signed
 	if snk.started {
-		return snk.announce(gen)
+		return snk.sendPosition(gen)
 	}
 	snk.started = true
-	snk.quiet = time.NewTicker(quietInterval)
+	snk.keepaliveTicker = time.NewTicker(keepaliveInterval)
 	snk.writer.Header().Set("Content-Type", "text/event-stream")
 	snk.writer.Header().Set("Cache-Control", "no-store")
 	snk.writer.WriteHeader(http.StatusOK)
-	snk.comments.Go(snk.comment)
-	return snk.announce(gen)
+	snk.keepaliveDone.Go(snk.sendKeepalives)
+	return snk.sendPosition(gen)
 }
 
-// announce sends the position before the first token, so that a caller can resume before it has one.
-func (snk *streamSink) announce(gen *generation) error {
+// sendPosition sends the generation's position before the first token, so that a caller that has no token yet can
+// resume.
+func (snk *streamSink) sendPosition(gen *generation) error {
 	return snk.write("id: %s\n\n", position.Serialize(snk.signed, gen.next-1))
 }
 
@@ -182,7 +183,7 @@
 	if !snk.unsent {
 		return nil
 	}
-	return snk.send()
+	return snk.flushBuffer()
 }
 
 func (snk *streamSink) done(tokens int) {
@@ -222,11 +223,11 @@
 	return nil, true
 }
 
-// comment keeps the connection alive while no event is due.
-func (snk *streamSink) comment() {
+// sendKeepalives sends a comment whenever no event was sent for keepaliveInterval, to keep the connection alive.
+func (snk *streamSink) sendKeepalives() {
 	for {
 		select {
-		case <-snk.quiet.C:
+		case <-snk.keepaliveTicker.C:
 		case <-snk.closed:
 			return
 		}
@@ -241,9 +242,9 @@
 		return
 	}
 	close(snk.closed)
-	// The handler must not return while the comment goroutine writes.
-	snk.comments.Wait()
-	snk.quiet.Stop()
+	// The handler must not return while the keepalive goroutine writes.
+	snk.keepaliveDone.Wait()
+	snk.keepaliveTicker.Stop()
 }
 
 func (snk *streamSink) resumable() bool {
@@ -257,13 +258,13 @@
 	if err := snk.print(format, args...); err != nil {
 		return err
 	}
-	return snk.send()
+	return snk.flushBuffer()
 }
 
-// print buffers an event; the caller holds the mutex.
-// The deadline holds from here, as a full buffer is sent without a flush.
+// print writes an event into the response's buffer; the caller holds the mutex.
+// It sets the write deadline, because a full buffer is sent without a call of flushBuffer.
 func (snk *streamSink) print(format string, args ...any) error {
-	snk.quiet.Reset(quietInterval)
+	snk.keepaliveTicker.Reset(keepaliveInterval)
 	if err := snk.control.SetWriteDeadline(snk.server.Now().Add(writeTimeout)); err != nil {
 		return trace.Wrap(err)
 	}
@@ -271,8 +272,8 @@
 	return trace.Wrap(err)
 }
 
-// send flushes the buffer; the caller holds the mutex.
-func (snk *streamSink) send() error {
+// flushBuffer sends the response's buffer; the caller holds the mutex.
+func (snk *streamSink) flushBuffer() error {
 	snk.unsent = false
 	return trace.Wrap(snk.control.Flush())
 }
--- a/entry/start.go
+++ b/entry/start.go
@@ -16,7 +16,7 @@
 )
 
 const (
-	// attachAttempts is the number of tries to reach a generation again before its engine counts as dead.
+	// attachAttempts is the number of tries to reach a generation again before its engine is considered dead.
 	attachAttempts = 4
 	attachPause    = 250 * time.Millisecond
 )
@@ -24,7 +24,7 @@
 // start sends the generation to admitted engines until one begins it.
 func (srv *Server) start(ctx context.Context, cal *call, gen *generation) (*endpoint.Stream, *Refusal) {
 	for {
-		edp, ref := srv.admitApart(ctx, cal, gen)
+		edp, ref := srv.admitIsolated(ctx, cal, gen)
 		if ref != nil {
 			return nil, ref
 		}
@@ -34,12 +34,12 @@
 		}
 		srv.noteFailure(edp.Name, err)
 		cal.logger.WithError(err).WithField("endpoint", edp.Name).Info("engine did not begin the generation")
-		if isWaiting(err) {
+		if isNotAccepting(err) {
 			if srv.Now().After(gen.waitUntil) {
 				return nil, notRun(routing.CodeDeadlineExceeded, "no engine had room for the request before its class's deadline")
 			}
 			if !pause(ctx, fullPause) {
-				return nil, leftRefusal(ctx)
+				return nil, cancelledRefusal(ctx)
 			}
 			continue
 		}
@@ -53,13 +53,14 @@
 	}
 }
 
-// admitApart waits for an engine and keeps a suspect off engines that hold another one.
-func (srv *Server) admitApart(ctx context.Context, cal *call, gen *generation) (*inventory.Endpoint, *Refusal) {
+// admitIsolated waits for an engine that may run the generation. A request that is suspected of crashing engines is
+// kept off engines that run another suspect.
+func (srv *Server) admitIsolated(ctx context.Context, cal *call, gen *generation) (*inventory.Endpoint, *Refusal) {
 	for {
 		suspect := srv.Quarantine.Suspect(gen.digest)
 		edp, ref := srv.admit(ctx, cal, gen, srv.exclude(gen, suspect))
 		if ctx.Err() != nil {
-			return nil, leftRefusal(ctx)
+			return nil, cancelledRefusal(ctx)
 		}
 		if ref != nil {
 			if suspect && ref.Code == routing.CodeDeadlineExceeded && srv.Now().Before(gen.waitUntil) {
@@ -72,12 +73,13 @@
 			return edp, nil
 		}
 		if !pause(ctx, fullPause) {
-			return nil, leftRefusal(ctx)
+			return nil, cancelledRefusal(ctx)
 		}
 	}
 }
 
-// confirm settles whether a suspect has its engine to itself; half of a pool stays open to other requests.
+// confirm finds out whether a suspect has its engine to itself, and returns false if it must not be sent. At most
+// half of a pool, rounded up, is reserved for suspects, so that other requests can use the remaining engines.
 func (srv *Server) confirm(ctx context.Context, cal *call, gen *generation, edp *inventory.Endpoint) bool {
 	ctx, cancel := context.WithTimeout(ctx, gen.waitUntil.Sub(srv.Now()))
 	defer cancel()
@@ -88,7 +90,7 @@
 	})
 }
 
-// exclude sets the engines that the generation may not use now and returns how long to wait for another.
+// exclude sets the engines that the generation must not use now and returns how long to wait for another one.
 func (srv *Server) exclude(gen *generation, suspect bool) (waitUntil time.Time) {
 	gen.routing.Excluded = maps.Clone(gen.failed)
 	if !suspect {
@@ -97,20 +99,21 @@
 	for _, name := range srv.Quarantine.Occupied(gen.digest) {
 		gen.routing.Excluded[name] = true
 	}
-	if soon := srv.Now().Add(apartWait); soon.Before(gen.waitUntil) {
+	if soon := srv.Now().Add(suspectWait); soon.Before(gen.waitUntil) {
 		return soon
 	}
 	return gen.waitUntil
 }
 
-// tryStart starts the generation on one engine; if the answer is lost, it attaches by the generation's id.
+// tryStart starts the generation on one engine; if the engine's answer is lost, it attaches by the generation's id.
 func (srv *Server) tryStart(ctx context.Context, cal *call, gen *generation, edp *inventory.Endpoint) (*endpoint.Stream, error) {
 	gen.endpoint, gen.deadline, gen.uncertain = edp, srv.Now().Add(positionLifetime), false
 	sentAt := srv.Now()
 	stm, err := srv.Endpoints.Start(context.WithoutCancel(ctx), target(edp), endpoint.StartRequest{
 		ID: gen.id, Model: gen.model, Prompt: gen.body.Prompt, MaxTokens: gen.body.MaxTokens,
 		Priority: cal.snapshot.Index.Rank(gen.class), Class: gen.class,
-		// This daemon may be gone when its caller does not come back.
+		// The engine itself must cancel the generation if its caller does not come back, since this daemon may be
+		// gone by then.
 		UnreadFor: abandonDelay.String(),
 	})
 	if err == nil {
@@ -120,7 +123,7 @@
 	if edpErr, ok := endpoint.AsError(err); ok && edpErr.Begun == endpoint.MayHaveBegun {
 		first := edpErr.Reason
 		cal.logger.WithError(err).WithField("generation", gen.id).Info("start has no answer; attaching by id")
-		// Only an engine that answered with an error has certainly not begun.
+		// Only an engine that answered with an error has certainly not begun the generation.
 		gen.uncertain = first != endpoint.ReasonRefused
 		gen.begun = gen.begun || gen.uncertain
 		if stm, err = srv.attach(ctx, cal, gen); err == nil {
@@ -157,7 +160,8 @@
 	return nil, err
 }
 
-// isCrash tells an engine whose process ended from one that is out of reach or left as planned.
+// isCrash reports whether an error shows that the engine's process ended, and not that the engine is unreachable or
+// leaving as planned.
 func (srv *Server) isCrash(name string, err error) bool {
 	if !srv.Tracker.Status(name).LeavingSince.IsZero() {
 		return false
@@ -166,12 +170,14 @@
 	return ok && (edpErr.Reason == endpoint.ReasonUnknownID || errors.Is(err, syscall.ECONNREFUSED))
 }
 
-// isWaiting reports that an engine takes no work now, which costs no retry.
-func isWaiting(err error) bool {
+// isNotAccepting reports whether the engine currently takes no work, which costs no retry.
+func isNotAccepting(err error) bool {
 	edpErr, ok := endpoint.AsError(err)
 	return ok && (edpErr.Reason == endpoint.ReasonFull || edpErr.Reason == endpoint.ReasonLeaving || edpErr.Reason == endpoint.ReasonNotLoaded)
 }
 
+// noteFailure marks an endpoint as leaving or failed after a failed call. An engine that is only full or has not
+// loaded the model is left unmarked.
 func (srv *Server) noteFailure(name string, err error) {
 	edpErr, ok := endpoint.AsError(err)
 	if !ok {
--- a/entry/timing.go
+++ b/entry/timing.go
@@ -8,7 +8,7 @@
 	"papayacroft/metrics"
 )
 
-// timing observes when an answer's tokens arrive.
+// timing records the time to an answer's first token and the intervals between its tokens.
 type timing struct {
 	began         time.Time
 	last          time.Time
@@ -17,7 +17,8 @@
 	tokens        prometheus.Counter
 }
 
-// newTiming looks up the metrics once, since a look-up for each token costs more than the token.
+// newTiming looks up the metrics once for each answer, since a look-up for each token costs more than the token
+// itself.
 func newTiming(now time.Time, met *metrics.Metrics, class, model string) *timing {
 	return &timing{
 		began:         now,
@@ -27,7 +28,7 @@
 	}
 }
 
-// token notes the arrival of one token.
+// token records the arrival of one token.
 func (tim *timing) token(now time.Time) {
 	tim.tokens.Inc()
 	if tim.last.IsZero() {
--- a/entry/waiting.go
+++ b/entry/waiting.go
@@ -10,26 +10,27 @@
 	"papayacroft/routing"
 )
 
-// waitingRoom lets requests wait for an admission controller's outcomes.
-type waitingRoom struct {
+// waitQueue serializes the calls of an admission controller and passes its outcomes to the requests that wait for
+// them.
+type waitQueue struct {
 	mutex      sync.Mutex
 	controller *admission.Controller
 	rnd        *rand.Rand
 	waiters    map[*admission.Ticket]chan admission.Outcome
 }
 
-func newWaitingRoom(ctl *admission.Controller) *waitingRoom {
-	return &waitingRoom{
+func newWaitQueue(ctl *admission.Controller) *waitQueue {
+	return &waitQueue{
 		controller: ctl, rnd: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
 		waiters: map[*admission.Ticket]chan admission.Outcome{},
 	}
 }
 
-// BuildAdmission sets up the waiting queues for engines and for plain services; it needs the tracker.
+// BuildAdmission sets up the waiting queues for engines and for plain services; the tracker must be set before.
 func (srv *Server) BuildAdmission() {
-	srv.engines = newWaitingRoom(admission.NewController(srv.Tracker))
+	srv.engines = newWaitQueue(admission.NewController(srv.Tracker))
 	srv.engines.controller.Watch()
-	srv.services = newWaitingRoom(admission.NewController(srv.Tracker))
+	srv.services = newWaitQueue(admission.NewController(srv.Tracker))
 }
 
 // Waiting returns the number of requests that wait for engines.
@@ -39,13 +40,14 @@
 	return srv.engines.controller.Queue.Len()
 }
 
-// Wake lets waiting requests go; it is called when a load report comes or an endpoint has ended a request.
+// Wake dispatches the waiting requests that endpoints now have room for. It is called for each load report, and at
+// intervals because endpoint failures expire without a report.
 func (srv *Server) Wake() {
 	srv.engines.wake(srv.Now(), srv.view())
 	srv.services.wake(srv.Now(), srv.view())
 }
 
-func (wtr *waitingRoom) wake(now time.Time, vew routing.View) {
+func (wtr *waitQueue) wake(now time.Time, vew routing.View) {
 	wtr.mutex.Lock()
 	defer wtr.mutex.Unlock()
 	if wtr.controller.Queue.Len() > 0 {
@@ -53,15 +55,15 @@
 	}
 }
 
-func (wtr *waitingRoom) deliver(outcomes []admission.Outcome) {
+func (wtr *waitQueue) deliver(outcomes []admission.Outcome) {
 	for _, out := range outcomes {
 		wtr.waiters[out.Ticket] <- out
 		delete(wtr.waiters, out.Ticket)
 	}
 }
 
-// enter submits a ticket and waits for its outcome; ok is false if the caller left before.
-func (srv *Server) enter(ctx context.Context, wtr *waitingRoom, tkt *admission.Ticket) (out admission.Outcome, ok bool) {
+// submitAndWait submits a ticket and waits for its outcome; ok is false if the caller disconnected first.
+func (srv *Server) submitAndWait(ctx context.Context, wtr *waitQueue, tkt *admission.Ticket) (out admission.Outcome, ok bool) {
 	result := make(chan admission.Outcome, 1)
 	wtr.mutex.Lock()
 	wtr.waiters[tkt] = result
@@ -75,16 +77,16 @@
 			return out, true
 		case <-deadline.C:
 			wtr.wake(srv.Now(), srv.view())
-			// A clock that the timer runs ahead of must not leave the request waiting.
+			// The timer can fire before srv.Now reaches the deadline; the queue must then be checked again.
 			deadline.Reset(fullPause)
 		case <-ctx.Done():
-			return wtr.leave(tkt, result)
+			return wtr.withdraw(tkt, result)
 		}
 	}
 }
 
-// leave takes a ticket out unless its outcome has come at the same moment.
-func (wtr *waitingRoom) leave(tkt *admission.Ticket, result chan admission.Outcome) (admission.Outcome, bool) {
+// withdraw removes a ticket from the queue, or returns its outcome if the controller has already decided it.
+func (wtr *waitQueue) withdraw(tkt *admission.Ticket, result chan admission.Outcome) (admission.Outcome, bool) {
 	wtr.mutex.Lock()
 	defer wtr.mutex.Unlock()
 	if wtr.controller.Cancel(tkt) {
--- a/entry/waiting_test.go
+++ b/entry/waiting_test.go
@@ -41,8 +41,9 @@
 	return newGeneration(time.Now(), cal, &CompletionRequest{Model: "writer", Class: "writeUp", Prompt: strings.Repeat("note", 100), MaxTokens: 100})
 }
 
-// Guards against a waiting request that finds free memory by polling only, and against memory that stays reserved.
-func TestAdmitWakes(t *testing.T) {
+// Guards against a waiting request that is not admitted as soon as a load report shows free memory, and against
+// memory that stays reserved after the caller disconnected.
+func TestLoadReportAdmitsWaitingRequest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		srv, cal := newAdmissionServer()
 		ctx, cancel := context.WithCancel(t.Context())
@@ -73,8 +74,8 @@
 	})
 }
 
-// Guards against a generation's end that leaves the next request waiting.
-func TestEndWakes(t *testing.T) {
+// Guards against a request that goes on waiting after the end of another generation has freed memory for it.
+func TestGenerationEndAdmitsWaitingRequest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		srv, cal := newAdmissionServer()
 		srv.reportUse(420)
@@ -88,7 +89,7 @@
 			_, ref := srv.admit(t.Context(), cal, second, time.Now().Add(time.Minute))
 			done <- ref
 		}()
-		// A request that has waited may use the whole capacity, but the first one still holds its part.
+		// A request that has waited may use the whole capacity, but the first request still holds its reservation.
 		time.Sleep(time.Second)
 		srv.Wake()
 		if got, want := srv.Waiting(), 1; got != want {
@@ -102,12 +103,12 @@
 		if got := srv.Tracker.Status("a").OwnRunning; got != 1 {
 			t.Errorf("running: got %d, want 1", got)
 		}
-		srv.settle(second, false)
+		srv.endAdmission(second, false)
 	})
 }
 
-// Guards against requests that outlive their deadline or their caller in the queue.
-func TestAdmitGivesUp(t *testing.T) {
+// Guards against requests that stay in the queue after their deadline or after their caller disconnected.
+func TestAdmitStopsAtDeadlineOrDisconnect(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		srv, cal := newAdmissionServer()
 		srv.reportUse(990)
