--- a/test/caller_test.go
+++ b/test/caller_test.go
@@ -24,23 +24,25 @@
 
 type callersKey struct{}
 
-// caller is a client that sends one request, resumes its stream elsewhere and records what it sees.
+// caller is a client that sends one request, resumes its answer through another entry daemon where needed, and
+// records what it receives.
 type caller struct {
 	entries    []string
 	credential string
 	prompt     string
 	body       string
-	// leaveAfter ends the caller after so many tokens without a resume; 0 never does.
+	// leaveAfter is the number of tokens after which the caller disconnects for good; 0 means never.
 	leaveAfter int
-	// hopAfter drops the connection once after so many tokens and resumes at the next entry.
-	hopAfter int
-	cancel   context.CancelFunc
-	finished chan struct{}
+	// reconnectAfter is the number of tokens after which the caller once drops its connection and resumes at the next
+	// entry daemon; 0 means never.
+	reconnectAfter int
+	cancel         context.CancelFunc
+	finished       chan struct{}
 
-	mutex    sync.Mutex
-	hopping  bool
-	position string
-	// location is the path of a whole answer that a daemon handed over.
+	mutex        sync.Mutex
+	reconnecting bool
+	position     string
+	// location is the path of a non-streamed answer that a daemon handed over.
 	location   string
 	texts      []string
 	problems   []string
@@ -66,7 +68,7 @@
 			_, err := fmt.Sscan(args[i+1], &clr.leaveAfter)
 			ts.Check(err)
 		case "-hop":
-			_, err := fmt.Sscan(args[i+1], &clr.hopAfter)
+			_, err := fmt.Sscan(args[i+1], &clr.reconnectAfter)
 			ts.Check(err)
 		}
 	}
@@ -76,7 +78,7 @@
 	go clr.run(ctx)
 }
 
-// run sends the request and resumes the stream until it ends.
+// run sends the request and resumes the answer until it ends.
 func (clr *caller) run(ctx context.Context) {
 	defer close(clr.finished)
 	for try := range callerTries {
@@ -102,7 +104,7 @@
 	clr.end = end
 }
 
-// try makes one request; retry is true if the caller was told to try elsewhere.
+// try makes one request; retry is true if the daemon asked the caller to try another one.
 func (clr *caller) try(ctx context.Context, address string) (retry bool, err error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address+"/v1/completions", strings.NewReader(clr.body))
 	if err != nil {
@@ -137,7 +139,8 @@
 	return false, clr.stream(res.Body)
 }
 
-// handOver notes where the whole answer is to be had; as a balancer would, the next try goes to the next entry.
+// handOver records the path at which another daemon serves the whole answer. The next try goes to the next entry
+// daemon, as a load balancer would route it.
 func (clr *caller) handOver(location string) {
 	clr.mutex.Lock()
 	defer clr.mutex.Unlock()
@@ -175,7 +178,7 @@
 	return nil
 }
 
-// endAfter notes the end of a whole answer; the mutex is held.
+// endAfter records the end of an answer that is complete after the given number of tokens; the mutex is held.
 func (clr *caller) endAfter(tokens int) {
 	if tokens != len(clr.texts) {
 		clr.problems = append(clr.problems, fmt.Sprintf("done after %d tokens with %d received", tokens, len(clr.texts)))
@@ -240,9 +243,9 @@
 	case "":
 		clr.token(evt.Data, data.Index, data.Text)
 	}
-	hop := clr.hopping
-	clr.hopping = false
-	return clr.end != "" || hop
+	reconnect := clr.reconnecting
+	clr.reconnecting = false
+	return clr.end != "" || reconnect
 }
 
 // token records one token; the mutex is held.
@@ -257,12 +260,12 @@
 	if clr.leaveAfter > 0 && len(clr.texts) >= clr.leaveAfter {
 		clr.end = "left"
 	}
-	if clr.hopAfter > 0 && len(clr.texts) >= clr.hopAfter {
-		clr.hopAfter, clr.hopping = 0, true
+	if clr.reconnectAfter > 0 && len(clr.texts) >= clr.reconnectAfter {
+		clr.reconnectAfter, clr.reconnecting = 0, true
 	}
 }
 
-// check returns what is wrong with the tokens: each must come once, in order, from one generation.
+// check returns the faults in the tokens: each must come once, in order, from one generation.
 func (clr *caller) check() []string {
 	problems := clr.problems
 	for i, text := range clr.texts {
@@ -274,7 +277,7 @@
 	return problems
 }
 
-// cmdReceived waits until a caller has so many tokens: received NAME N.
+// cmdReceived waits until a caller has received N tokens: received NAME N.
 func cmdReceived(ts *testscript.TestScript, _ bool, args []string) {
 	clr := scriptCaller(ts, args)
 	var want int
@@ -295,7 +298,7 @@
 
 // cmdHistory waits for a caller's end and checks its history:
 // history NAME END [-tokens N] [-restarts N] [-reattaches N] [-comments N] [-engines ADDRESSES].
-// Tokens and restarts are exact, reattaches and comments are minima. With -engines, END must not be notRun
+// Tokens and restarts are exact, reattaches and comments are minimum numbers. With -engines, END must not be notRun
 // if one of the engines has begun the prompt.
 func cmdHistory(ts *testscript.TestScript, _ bool, args []string) {
 	clr := scriptCaller(ts, args)
@@ -312,7 +315,7 @@
 	}
 	for i := 2; i+1 < len(args); i += 2 {
 		if args[i] == "-engines" {
-			clr.checkHonest(ts, strings.Split(args[i+1], ","))
+			clr.checkNotRun(ts, strings.Split(args[i+1], ","))
 			continue
 		}
 		var want int
@@ -326,7 +329,8 @@
 	}
 }
 
-func (clr *caller) checkHonest(ts *testscript.TestScript, engines []string) {
+// checkNotRun fails if the caller got notRun although one of the engines has begun its prompt.
+func (clr *caller) checkNotRun(ts *testscript.TestScript, engines []string) {
 	for _, address := range engines {
 		res, err := http.Get("http://" + address + "/generations")
 		ts.Check(err)
@@ -335,13 +339,14 @@
 		ts.Check(json.NewDecoder(res.Body).Decode(&begun))
 		for id, prompt := range begun {
 			if prompt == clr.prompt && strings.HasPrefix(clr.end, "notRun/") {
-				ts.Fatalf("caller was told %s, but %s began generation %s", clr.end, address, id)
+				ts.Fatalf("caller got %s, but %s began generation %s", clr.end, address, id)
 			}
 		}
 	}
 }
 
-// cmdPosition sets a variable to the last position, or path of a whole answer, that a caller received: position NAME VARIABLE.
+// cmdPosition sets a variable to the last position that a caller received, or to the path of its handed-over answer:
+// position NAME VARIABLE.
 func cmdPosition(ts *testscript.TestScript, _ bool, args []string) {
 	clr := scriptCaller(ts, args)
 	clr.mutex.Lock()
--- a/test/claims_test.go
+++ b/test/claims_test.go
@@ -17,7 +17,7 @@
 	"papayacroft/inventory"
 )
 
-// background holds the calls of one script that run beside it.
+// background holds the calls that a script runs in the background.
 type background struct {
 	mutex sync.Mutex
 	calls map[string]chan struct{}
@@ -27,7 +27,8 @@
 
 func newBackground() *background { return &background{calls: map[string]chan struct{}{}} }
 
-// cmdKey sets NAME to a new idempotency key, and NAME_STREAM to its claim stream for team rimu/members: key NAME [AGE].
+// cmdKey sets NAME to a new idempotency key, and NAME_STREAM to the log stream of its claim by team rimu/members:
+// key NAME [AGE]. AGE is how far the key's time lies in the past.
 func cmdKey(ts *testscript.TestScript, _ bool, args []string) {
 	key, err := uuid.NewV7()
 	ts.Check(err)
@@ -44,8 +45,8 @@
 	ts.Setenv(args[0]+"_STREAM", claim.ShardStream(claim.KeyDigest(team, key.String())))
 }
 
-// cmdBackground starts a call like http does and goes on: background NAME METHOD URL ...;
-// its status and body go to NAME.out.
+// cmdBackground starts a call with the arguments of http and does not wait for its answer:
+// background NAME METHOD URL ...; its status and body go to NAME.out.
 func cmdBackground(ts *testscript.TestScript, _ bool, args []string) {
 	cal := parseHTTPCall(ts, args[1:])
 	cal.status = 0
@@ -62,7 +63,7 @@
 	}()
 }
 
-// cmdAwait waits for calls that were started by background: await NAME...
+// cmdAwait waits for the end of calls that were started by background: await NAME...
 func cmdAwait(ts *testscript.TestScript, _ bool, args []string) {
 	bgr := ts.Value(backgroundKey{}).(*background)
 	for _, arg := range args {
@@ -73,7 +74,8 @@
 	}
 }
 
-// cmdRan checks how often services ran calls with a body, over all service addresses: ran BODY COUNT ADDRESS...
+// cmdRan checks how often the services at all addresses together ran calls whose text contains BODY:
+// ran BODY COUNT ADDRESS...
 func cmdRan(ts *testscript.TestScript, _ bool, args []string) {
 	want, err := strconv.Atoi(args[1])
 	ts.Check(err)
@@ -96,7 +98,8 @@
 	}
 }
 
-// cmdFlood makes calls one after another and writes the number of each status: flood FILE COUNT METHOD URL ...
+// cmdFlood makes COUNT calls one after another and writes the number of each status to FILE:
+// flood FILE COUNT METHOD URL ...
 func cmdFlood(ts *testscript.TestScript, _ bool, args []string) {
 	count, err := strconv.Atoi(args[1])
 	ts.Check(err)
--- a/test/cluster_test.go
+++ b/test/cluster_test.go
@@ -77,7 +77,7 @@
 	return addresses
 }
 
-// cmdExpand replaces $NAME in files by the script's variables: expand FILE...
+// cmdExpand replaces $NAME in files by the value of the script's variable NAME: expand FILE...
 func cmdExpand(ts *testscript.TestScript, _ bool, args []string) {
 	for _, arg := range args {
 		data, err := os.ReadFile(ts.MkAbs(arg))
--- a/test/http_test.go
+++ b/test/http_test.go
@@ -16,7 +16,7 @@
 	eventuallyPause   = 50 * time.Millisecond
 )
 
-// httpCall is one request of a script.
+// httpCall is one request of a script and the expected response.
 type httpCall struct {
 	method, url, body, save string
 	header                  http.Header
@@ -53,7 +53,8 @@
 	return cal
 }
 
-// run makes the call and returns what differs from the expectation, or nothing.
+// run makes the call and returns the response's body and how the response differs from what is expected; problem is
+// empty if it does not differ.
 func (cal *httpCall) run() (body, problem string) {
 	req, err := http.NewRequest(cal.method, cal.url, strings.NewReader(cal.body))
 	if err != nil {
@@ -61,7 +62,7 @@
 	}
 	req.Header = cal.header.Clone()
 	clt := &http.Client{Timeout: requestTimeout, Transport: &http.Transport{DisableKeepAlives: true}, CheckRedirect: func(*http.Request, []*http.Request) error {
-		// There is no balancer that would send the call elsewhere.
+		// Scripts have no load balancer that would route the redirected call to another daemon.
 		return http.ErrUseLastResponse
 	}}
 	res, err := clt.Do(req)
@@ -87,7 +88,7 @@
 	return string(data), ""
 }
 
-// cmdHTTP makes one call and fails unless it is as expected.
+// cmdHTTP makes one call and fails unless the response is as expected.
 func cmdHTTP(ts *testscript.TestScript, neg bool, args []string) {
 	cal := parseHTTPCall(ts, args)
 	body, problem := cal.run()
@@ -97,7 +98,7 @@
 	cal.saveBody(ts, body)
 }
 
-// cmdEventually repeats a call until it is as expected.
+// cmdEventually repeats a call until the response is as expected, and fails after eventuallyTimeout.
 func cmdEventually(ts *testscript.TestScript, _ bool, args []string) {
 	cal := parseHTTPCall(ts, args)
 	deadline := time.Now().Add(eventuallyTimeout)
--- a/test/limits_test.go
+++ b/test/limits_test.go
@@ -14,11 +14,11 @@
 	"papayacroft/membership"
 )
 
-// loadPause is the time between two calls of one load, far above the limits of scripts.
+// loadPause is the time between two calls to one address. The resulting rate is far above the limits in the scripts.
 const loadPause = 5 * time.Millisecond
 
 // cmdLimitOwner finds the daemon that owns an organisation's limits: limitowner ORGANISATION DAEMONS.
-// It sets OWNER to its name, and OTHER1, OTHER2 and so on to the caller addresses of the others.
+// It sets OWNER to that daemon's name, and OTHER1, OTHER2 and so on to the caller addresses of the other daemons.
 func cmdLimitOwner(ts *testscript.TestScript, _ bool, args []string) {
 	body, problem := (&httpCall{method: http.MethodGet, url: "http://" + ts.Getenv("ADMIN1") + "/admin/status", status: http.StatusOK}).run()
 	if problem != "" {
--- a/test/load_test.go
+++ b/test/load_test.go
@@ -38,7 +38,7 @@
 	return sum
 }
 
-// cmdPeak checks the most memory that a process has held so far: peak NAME MEGABYTES.
+// cmdPeak checks that the peak resident memory of a process is at most MEGABYTES: peak NAME MEGABYTES.
 func cmdPeak(ts *testscript.TestScript, _ bool, args []string) {
 	most, err := strconv.Atoi(args[1])
 	ts.Check(err)
@@ -58,7 +58,7 @@
 	}
 }
 
-// cmdMetric waits until a daemon's metric lies in bounds: metric ADMIN NAME MIN MAX.
+// cmdMetric waits until a daemon's metric is between MIN and MAX: metric ADMIN NAME MIN MAX.
 func cmdMetric(ts *testscript.TestScript, _ bool, args []string) {
 	low, err := strconv.ParseFloat(args[2], 64)
 	ts.Check(err)
@@ -76,7 +76,7 @@
 	}
 }
 
-// slowBuffer is the receive buffer of a caller that does not read.
+// slowBuffer is the size of the socket receive buffer, in bytes, of a caller that does not read.
 const slowBuffer = 4 << 10
 
 // cmdSlow starts streams whose callers read one byte and no more: slow COUNT ENTRY CREDENTIAL BODY.
@@ -102,9 +102,9 @@
 	}
 }
 
-// cmdStorm sends requests at once and checks that the retries stay in the budget of one team and pool:
-// storm COUNT MIN ENTRY ADMIN CREDENTIAL ENGINES. There must be at least MIN retries by the daemon's count,
-// and the engines that answer must not have seen more.
+// cmdStorm sends COUNT requests at once and checks that their retries stay within the budget of one team and pool:
+// storm COUNT MIN ENTRY ADMIN CREDENTIAL ENGINES. The daemon must count at least MIN retries, and the engines that
+// can be reached must not have received more retries than that count.
 func cmdStorm(ts *testscript.TestScript, _ bool, args []string) {
 	count, err := strconv.Atoi(args[0])
 	ts.Check(err)
@@ -131,7 +131,8 @@
 	}
 }
 
-// retriesAt counts the starts beyond the first of each prompt over all engines.
+// retriesAt returns the number of failed starts beyond the first of each prompt, over all engines that can be
+// reached.
 func retriesAt(ts *testscript.TestScript, engines []string) float64 {
 	starts := map[string]int{}
 	for _, address := range engines {
--- a/test/orders_test.go
+++ b/test/orders_test.go
@@ -13,18 +13,19 @@
 	"papayacroft/provider"
 )
 
-// scriptFence marks the orders that a script sends itself.
+// scriptFence is the fencing token of orders that a script sends directly, without a lease.
 const scriptFence = 0
 
-// engineOrder is one order that an engine stand-in has taken.
+// engineOrder is one order that an engine stand-in has accepted.
 type engineOrder struct {
 	At    time.Time
 	Fence int64
 }
 
-// cmdOrders checks that lease holders ordered an engine one after the other, and that they sent a number of orders or more:
-// orders ENGINE LOG POOL NUMBER. Tokens must not shrink, and a holder that is not the pool's first must have
-// waited for its predecessor's lease and both margins after its own lease record.
+// cmdOrders checks that an engine got its orders from one lease holder at a time, and NUMBER of them or more:
+// orders ENGINE LOG POOL NUMBER. Fencing tokens must not decrease, and a holder that is not the pool's first must
+// have waited for the duration and the margin of a lease after its own first lease record, so that its predecessor's
+// lease had expired by both clocks.
 func cmdOrders(ts *testscript.TestScript, _ bool, args []string) {
 	if len(args) != 4 {
 		ts.Fatalf("usage: orders ENGINE LOG POOL NUMBER")
@@ -46,8 +47,8 @@
 		if ord.Fence < last.Fence {
 			ts.Fatalf("got an order with token %d %s after one with token %d; want none of an earlier holder", ord.Fence, ord.At.Sub(last.At), last.Fence)
 		}
-		tenure, first := tenureOf(ts, bat.Records, args[2], ord.Fence)
-		if wait := ord.At.Sub(tenure); !first && wait < lease.Duration+lease.Margin {
+		firstRecord, first := firstRecordOfHolder(ts, bat.Records, args[2], ord.Fence)
+		if wait := ord.At.Sub(firstRecord); !first && wait < lease.Duration+lease.Margin {
 			ts.Fatalf("got an order with token %d %s after its holder's first lease record; want at least %s", ord.Fence, wait, lease.Duration+lease.Margin)
 		}
 		last = ord
@@ -59,8 +60,9 @@
 	}
 }
 
-// tenureOf returns when the holder of a token first put a record on the log, and whether it is the pool's first holder.
-func tenureOf(ts *testscript.TestScript, records []provider.Record, pool string, token int64) (at time.Time, first bool) {
+// firstRecordOfHolder returns when the holder that a token belongs to wrote its first lease record to the log, and
+// whether it is the pool's first holder.
+func firstRecordOfHolder(ts *testscript.TestScript, records []provider.Record, pool string, token int64) (at time.Time, first bool) {
 	holder, first := "", true
 	for _, rec := range records {
 		parsed, err := lease.ParseRecord(rec.Body)
--- a/test/process_test.go
+++ b/test/process_test.go
@@ -42,7 +42,7 @@
 }
 
 // cmdStart runs a program in the background: start NAME PROGRAM ARGS...; its output goes to NAME.log.
-// If ARGS hold an --address, it waits until that address takes connections.
+// If ARGS contain --address, it waits until that address accepts connections.
 func cmdStart(ts *testscript.TestScript, _ bool, args []string) {
 	if len(args) < 2 {
 		ts.Fatalf("usage: start NAME PROGRAM ARGS...")
@@ -70,12 +70,12 @@
 			return
 		}
 		if time.Now().After(deadline) {
-			ts.Fatalf("%s takes no connections: %v; the log of %s: %s", address, err, name, ts.ReadFile(name+".log"))
+			ts.Fatalf("%s accepts no connections: %v; the log of %s: %s", address, err, name, ts.ReadFile(name+".log"))
 		}
 	}
 }
 
-// cmdSignal sends KILL, STOP, CONT or TERM: signal NAME SIGNAL; after KILL it waits for the end.
+// cmdSignal sends KILL, STOP, CONT or TERM: signal NAME SIGNAL. After KILL it waits until the process has ended.
 func cmdSignal(ts *testscript.TestScript, _ bool, args []string) {
 	signals := map[string]syscall.Signal{
 		"KILL": syscall.SIGKILL, "STOP": syscall.SIGSTOP, "CONT": syscall.SIGCONT, "TERM": syscall.SIGTERM,
--- a/test/scenario_test.go
+++ b/test/scenario_test.go
@@ -33,7 +33,8 @@
 	os.Exit(code)
 }
 
-// Each script names the promise and the failure that it guards against.
+// TestScenarios runs each script in scenarios. The head of a script states the promise that it checks, the failure
+// that it injects, and a change of the code that must make the script fail.
 func TestScenarios(t *testing.T) {
 	testscript.Run(t, testscript.Params{
 		Dir:                 "scenarios",
@@ -69,7 +70,7 @@
 	})
 }
 
-// setup puts the programs on the path and stops what a script left running.
+// setup puts the programs on the path and ends the processes that a script leaves running.
 func setup(env *testscript.Env) error {
 	env.Setenv("PATH", programs+string(filepath.ListSeparator)+env.Getenv("PATH"))
 	prs := newProcesses()
--- a/test/system_test.go
+++ b/test/system_test.go
@@ -52,7 +52,7 @@
 	for i := 1; i <= daemons; i++ {
 		name := "entry-" + strconv.Itoa(i)
 		if len(args) > 2 {
-			setNotice(ts, name+".yaml", args[2])
+			setDrainNotice(ts, name+".yaml", args[2])
 		}
 		cmdStart(ts, false, []string{name, "papayacroftd", "--settings", name + ".yaml"})
 		cmdEventually(ts, false, []string{"GET", "http://" + ts.Getenv("ADMIN"+strconv.Itoa(i)) + "/healthz"})
@@ -61,7 +61,7 @@
 		"--daemons", ts.Getenv("DAEMONS"), "--log", "http://"+ts.Getenv("LOG")))
 }
 
-func setNotice(ts *testscript.TestScript, file, notice string) {
+func setDrainNotice(ts *testscript.TestScript, file, notice string) {
 	data, err := os.ReadFile(ts.MkAbs(file))
 	ts.Check(err)
 	ts.Check(writeFile(ts.MkAbs(file), strings.Replace(string(data), "drainNotice: 5s", "drainNotice: "+notice, 1)))
@@ -83,7 +83,7 @@
 	}
 }
 
-// cmdElapse lets a time pass that a bound of the system must outlast or not: elapse DURATION.
+// cmdElapse sleeps, so that a time limit of the system runs out or is shown not to run out yet: elapse DURATION.
 func cmdElapse(ts *testscript.TestScript, _ bool, args []string) {
 	dur, err := time.ParseDuration(args[0])
 	ts.Check(err)
