--- a/entry/completion.go
+++ b/entry/completion.go
@@ -82,7 +82,7 @@
 	return &req, nil
 }
 
-// modelClasses lists the classes of the pools that serve a model.
+// modelClasses returns the classes of the pools that serve a model, sorted and without duplicates.
 func modelClasses(idx *inventory.Index, model string) []string {
 	var classes []string
 	for _, pool := range idx.ModelPools(model) {
--- a/entry/refusal.go
+++ b/entry/refusal.go
@@ -30,7 +30,7 @@
 	// status.
 	location string
 	redirect int
-	// unread is true if the request's body did not arrive whole.
+	// unread is true if the request's body was not received completely.
 	unread bool
 }
 
--- a/entry/start.go
+++ b/entry/start.go
@@ -122,7 +122,7 @@
 	}
 	if edpErr, ok := endpoint.AsError(err); ok && edpErr.Begun == endpoint.MayHaveBegun {
 		first := edpErr.Reason
-		cal.logger.WithError(err).WithField("generation", gen.id).Info("start has no answer; attaching by id")
+		cal.logger.WithError(err).WithField("generation", gen.id).Info("no usable answer to the start of the generation; attaching by its id")
 		// Only an engine that answered with an error has certainly not begun the generation.
 		gen.uncertain = first != endpoint.ReasonRefused
 		gen.begun = gen.begun || gen.uncertain
