--- a/standin/engine.go
+++ b/standin/engine.go
@@ -13,75 +13,86 @@
 )
 
 const (
-	generationKept    = 5 * time.Minute
-	keepaliveInterval = time.Second
-	maxEngineBody     = 2 << 20
-	bytesPerToken     = 4
+	// generationRetention is how long a finished generation can still be attached to.
+	generationRetention = 5 * time.Minute
+	keepAliveInterval   = time.Second
+	maxEngineBodyBytes  = 2 << 20
+	bytesPerToken       = 4
 )
 
-// EngineFaults are the failures that an engine stand-in shows.
+// EngineFaults selects the faults that an engine stand-in injects.
 type EngineFaults struct {
-	// Stall stops decoding.
+	// Stall stops decoding; the engine still answers calls and sends keep-alive events.
 	Stall bool `json:"stall"`
-	// SilenceOpen stops all bytes on streams that are open now; new streams work.
+	// SilenceOpen stops sending on the streams that are open when the fault is set, without closing them; streams that
+	// are opened later work.
 	SilenceOpen bool `json:"silenceOpen"`
-	// Leaving refuses new generations.
+	// Leaving refuses new generations with the code "leaving" and sets "leaving" in load reports.
 	Leaving bool `json:"leaving"`
-	// Full refuses new generations for lack of memory.
+	// Full refuses new generations as if memory were full.
 	Full bool `json:"full"`
-	// CrashOn ends the process when a prompt contains the text.
+	// CrashOn ends the process when a prompt contains this text; an empty text disables the fault.
 	CrashOn string `json:"crashOn"`
-	// DropStart begins generations and closes the connection without an answer.
+	// DropStart starts a requested generation and then closes the connection without a response.
 	DropStart bool `json:"dropStart"`
-	// FailStart answers 500 to starts and begins nothing.
+	// FailStart answers start requests with status 500 and starts no generation.
 	FailStart bool `json:"failStart"`
-	// Garble makes the streams that start generations faulty at index 3: duplicate, gap or foreign.
+	// Garble corrupts the response streams of start requests at token index 3: "duplicate" repeats an index, "gap" omits
+	// the token, and "foreign" sends a token of another generation.
 	Garble string `json:"garble"`
 }
 
-// Engine is a model engine with continuous batching and limited memory.
+// Engine is a stand-in for a model engine: it decodes all running generations in parallel, within limited memory.
 type Engine struct {
 	Name           string
 	Models         []string
 	CapacityTokens int
 	TokenInterval  time.Duration
-	// OutputTokens is the length of an answer; 0 draws a heavy-tailed length.
+	// OutputTokens is the number of tokens of each generation; 0 draws a random number with a heavy tail.
 	OutputTokens int
 	// Crash ends the process.
 	Crash func()
 
-	mutex       sync.Mutex
-	faults      EngineFaults
+	mutex  sync.Mutex
+	faults EngineFaults
+	// silenced is closed and replaced when SilenceOpen is set; streams that were opened before stop sending.
 	silenced    chan struct{}
 	generations map[string]*engineGeneration
 	preemptions int64
 	started     int64
 	cancelled   int64
-	// failed counts the starts that FailStart refused, by prompt.
-	failed   map[string]int
-	fence    int64
-	versions map[string]string
-	role     string
-	orders   []takenOrder
-	refused  int64
-	// ChecksFence is true if orders with an old fencing token are refused.
+	// failedStarts counts the starts that FailStart refused, by prompt.
+	failedStarts map[string]int
+	// fence is the fencing token of the last accepted order.
+	fence         int64
+	versions      map[string]string
+	role          string
+	orders        []acceptedOrder
+	refusedOrders int64
+	// ChecksFence refuses orders whose fencing token is lower than that of the last accepted order.
 	ChecksFence bool
 }
 
+// engineGeneration is a generation that the engine runs, has preempted, or has finished within generationRetention.
 type engineGeneration struct {
-	id        string
-	text      string
-	prompt    int
-	readers   int
-	unreadAt  time.Time
-	unreadFor time.Duration
-	priority  int
+	id           string
+	promptText   string
+	promptTokens int
+	// readers is the number of open streams of the generation.
+	readers int
+	// readerlessSince is when the last stream was closed, or the start if there was none yet.
+	readerlessSince   time.Time
+	readerlessTimeout time.Duration
+	priority          int
+	// total is the number of tokens to decode.
 	total     int
 	tokens    []string
 	preempted bool
 	cancelled bool
-	doneAt    time.Time
-	changed   chan struct{}
+	// doneAt is when the generation completed or was cancelled; zero before.
+	doneAt time.Time
+	// changed is closed and replaced when a token is added or the generation is cancelled.
+	changed chan struct{}
 }
 
 // NewEngine returns an engine without generations.
@@ -89,7 +100,7 @@
 	return &Engine{
 		Name: "engine", CapacityTokens: 100_000, TokenInterval: 20 * time.Millisecond,
 		Crash: func() {}, silenced: make(chan struct{}), generations: map[string]*engineGeneration{},
-		versions: map[string]string{}, failed: map[string]int{},
+		versions: map[string]string{}, failedStarts: map[string]int{},
 	}
 }
 
@@ -109,7 +120,7 @@
 	return mux
 }
 
-// Run decodes one token of each running generation per interval until stop is closed.
+// Run decodes one token of each running generation per TokenInterval until stop is closed.
 func (eng *Engine) Run(stop <-chan struct{}) {
 	ticker := time.NewTicker(eng.TokenInterval)
 	defer ticker.Stop()
@@ -123,11 +134,12 @@
 	}
 }
 
-// step decodes one token for each running generation and preempts the lowest priorities when memory is full.
+// step decodes one token for each running generation. When memory is full, it first preempts the generation of the
+// lowest priority.
 func (eng *Engine) step(now time.Time) {
 	eng.mutex.Lock()
 	defer eng.mutex.Unlock()
-	eng.cancelUnread(now)
+	eng.cancelReaderless(now)
 	if eng.faults.Stall {
 		return
 	}
@@ -146,12 +158,13 @@
 		gen.notify()
 	}
 	for id, gen := range eng.generations {
-		if !gen.doneAt.IsZero() && now.Sub(gen.doneAt) > generationKept {
+		if !gen.doneAt.IsZero() && now.Sub(gen.doneAt) > generationRetention {
 			delete(eng.generations, id)
 		}
 	}
 }
 
+// running returns the generations that are decoding, highest priority first.
 func (eng *Engine) running() []*engineGeneration {
 	var gens []*engineGeneration
 	for _, gen := range eng.generations {
@@ -168,16 +181,18 @@
 	return gens
 }
 
+// usedTokens returns the memory used by running generations, in tokens.
 func (eng *Engine) usedTokens() int {
 	used := 0
 	for _, gen := range eng.generations {
 		if gen.doneAt.IsZero() && !gen.preempted {
-			used += gen.prompt + len(gen.tokens)
+			used += gen.promptTokens + len(gen.tokens)
 		}
 	}
 	return used
 }
 
+// preemptLowest preempts the running generation of the lowest priority, unless keep is the only one.
 func (eng *Engine) preemptLowest(keep *engineGeneration) {
 	gens := eng.running()
 	victim := gens[len(gens)-1]
@@ -188,21 +203,23 @@
 	eng.preemptions++
 }
 
+// resumePreempted resumes preempted generations as long as more than a tenth of the memory stays free.
 func (eng *Engine) resumePreempted() {
 	for _, gen := range eng.generations {
-		if gen.preempted && eng.usedTokens()+gen.prompt+len(gen.tokens) < eng.CapacityTokens*9/10 {
+		if gen.preempted && eng.usedTokens()+gen.promptTokens+len(gen.tokens) < eng.CapacityTokens*9/10 {
 			gen.preempted = false
 		}
 	}
 }
 
+// notify wakes the streams that wait for a change of the generation.
 func (gen *engineGeneration) notify() {
 	close(gen.changed)
 	gen.changed = make(chan struct{})
 }
 
 func (eng *Engine) handleStart(wri http.ResponseWriter, req *http.Request) {
-	var ask struct {
+	var msg struct {
 		ID        string `json:"id"`
 		Model     string `json:"model"`
 		Prompt    string `json:"prompt"`
@@ -211,16 +228,16 @@
 		Class     string `json:"class"`
 		UnreadFor string `json:"unreadFor"`
 	}
-	if err := json.NewDecoder(http.MaxBytesReader(wri, req.Body, maxEngineBody)).Decode(&ask); err != nil || len(ask.ID) < 8 {
+	if err := json.NewDecoder(http.MaxBytesReader(wri, req.Body, maxEngineBodyBytes)).Decode(&msg); err != nil || len(msg.ID) < 8 {
 		eng.refuse(wri, http.StatusBadRequest, "badRequest")
 		return
 	}
-	if eng.failsStart(ask.Prompt) {
+	if eng.countFailedStart(msg.Prompt) {
 		eng.refuse(wri, http.StatusInternalServerError, "failed")
 		return
 	}
-	unreadFor, _ := time.ParseDuration(ask.UnreadFor)
-	if code := eng.begin(ask.ID, ask.Model, ask.Prompt, ask.MaxTokens, ask.Priority, unreadFor); code != "" {
+	unreadFor, _ := time.ParseDuration(msg.UnreadFor)
+	if code := eng.begin(msg.ID, msg.Model, msg.Prompt, msg.MaxTokens, msg.Priority, unreadFor); code != "" {
 		eng.refuse(wri, http.StatusServiceUnavailable, code)
 		return
 	}
@@ -230,10 +247,11 @@
 	if faults.DropStart {
 		panic(http.ErrAbortHandler)
 	}
-	eng.stream(wri, req, ask.ID, 0, faults.Garble)
+	eng.stream(wri, req, msg.ID, 0, faults.Garble)
 }
 
-// begin creates a generation unless its id is known already.
+// begin creates a generation unless one with the id exists already. It returns the error code of a refusal, or an
+// empty string.
 func (eng *Engine) begin(id, model, prompt string, maxTokens, priority int, unreadFor time.Duration) string {
 	eng.mutex.Lock()
 	defer eng.mutex.Unlock()
@@ -254,7 +272,7 @@
 		return "modelNotLoaded"
 	}
 	eng.generations[id] = &engineGeneration{
-		id: id, text: prompt, unreadAt: time.Now(), unreadFor: unreadFor, prompt: promptTokens, priority: priority,
+		id: id, promptText: prompt, readerlessSince: time.Now(), readerlessTimeout: unreadFor, promptTokens: promptTokens, priority: priority,
 		total: min(maxTokens, eng.outputTokens()), changed: make(chan struct{}),
 	}
 	eng.started++
@@ -270,17 +288,17 @@
 
 func (eng *Engine) handleOrder(wri http.ResponseWriter, req *http.Request) {
 	var ord engineOrder
-	if err := json.NewDecoder(http.MaxBytesReader(wri, req.Body, maxEngineBody)).Decode(&ord); err != nil {
+	if err := json.NewDecoder(http.MaxBytesReader(wri, req.Body, maxEngineBodyBytes)).Decode(&ord); err != nil {
 		eng.refuse(wri, http.StatusBadRequest, "badRequest")
 		return
 	}
 	eng.mutex.Lock()
 	stale := eng.ChecksFence && ord.Fence < eng.fence
 	if stale {
-		eng.refused++
+		eng.refusedOrders++
 	} else {
 		eng.fence = ord.Fence
-		eng.orders = append(eng.orders, takenOrder{At: time.Now(), engineOrder: ord})
+		eng.orders = append(eng.orders, acceptedOrder{At: time.Now(), engineOrder: ord})
 		eng.applyOrder(ord)
 	}
 	eng.mutex.Unlock()
@@ -309,7 +327,7 @@
 func (eng *Engine) handleStats(wri http.ResponseWriter, _ *http.Request) {
 	eng.mutex.Lock()
 	defer eng.mutex.Unlock()
-	writeJSON(wri, http.StatusOK, map[string]int64{"orders": int64(len(eng.orders)), "refusedOrders": eng.refused, "fence": eng.fence, "started": eng.started, "cancelled": eng.cancelled, "preemptions": eng.preemptions})
+	writeJSON(wri, http.StatusOK, map[string]int64{"orders": int64(len(eng.orders)), "refusedOrders": eng.refusedOrders, "fence": eng.fence, "started": eng.started, "cancelled": eng.cancelled, "preemptions": eng.preemptions})
 }
 
 func (eng *Engine) refuse(wri http.ResponseWriter, status int, code string) {
@@ -322,7 +340,7 @@
 	wri.WriteHeader(http.StatusOK)
 }
 
-// setLoad puts the load report into the response's header.
+// setLoad sets the load report as a response header.
 func (eng *Engine) setLoad(wri http.ResponseWriter) {
 	wri.Header().Set("Papayacroft-Load", eng.loadReport())
 }
--- a/standin/engine_stream.go
+++ b/standin/engine_stream.go
@@ -16,36 +16,37 @@
 	eng.stream(wri, req, req.PathValue("id"), from, "")
 }
 
-// handleList tells which prompts the engine has begun.
+// handleList returns the prompts of all running and retained generations by id.
 func (eng *Engine) handleList(wri http.ResponseWriter, _ *http.Request) {
 	eng.mutex.Lock()
 	defer eng.mutex.Unlock()
 	prompts := map[string]string{}
 	for id, gen := range eng.generations {
-		prompts[id] = gen.text
+		prompts[id] = gen.promptText
 	}
 	writeJSON(wri, http.StatusOK, prompts)
 }
 
-// failsStart counts a start that the fault refuses.
-func (eng *Engine) failsStart(prompt string) bool {
+// countFailedStart reports whether FailStart is set, and counts the refused start if so.
+func (eng *Engine) countFailedStart(prompt string) bool {
 	eng.mutex.Lock()
 	defer eng.mutex.Unlock()
 	if eng.faults.FailStart {
-		eng.failed[prompt]++
+		eng.failedStarts[prompt]++
 	}
 	return eng.faults.FailStart
 }
 
-// handleFailed tells how often the start of each prompt was refused.
+// handleFailed returns how many starts FailStart refused, by prompt.
 func (eng *Engine) handleFailed(wri http.ResponseWriter, _ *http.Request) {
 	eng.mutex.Lock()
 	defer eng.mutex.Unlock()
-	writeJSON(wri, http.StatusOK, eng.failed)
+	writeJSON(wri, http.StatusOK, eng.failedStarts)
 }
 
-// open counts a reader of a generation, or says why there can be none.
-func (eng *Engine) open(id string, from int) (gen *engineGeneration, silenced chan struct{}, code string) {
+// addReader adds a reader to a generation and returns it with the current silenced channel; if the generation cannot
+// be read from that index on, it returns an error code.
+func (eng *Engine) addReader(id string, from int) (gen *engineGeneration, silenced chan struct{}, code string) {
 	eng.mutex.Lock()
 	defer eng.mutex.Unlock()
 	gen, ok := eng.generations[id]
@@ -59,11 +60,11 @@
 	return gen, eng.silenced, ""
 }
 
-func (eng *Engine) release(gen *engineGeneration) {
+func (eng *Engine) removeReader(gen *engineGeneration) {
 	eng.mutex.Lock()
 	defer eng.mutex.Unlock()
 	gen.readers--
-	gen.unreadAt = time.Now()
+	gen.readerlessSince = time.Now()
 }
 
 var streamStatus = map[string]int{
@@ -71,19 +72,20 @@
 	"beyondEnd":         http.StatusRequestedRangeNotSatisfiable,
 }
 
-// stream sends a generation's events from an index on.
+// stream sends a generation's events from a token index on until the generation ends or the reader disconnects. While
+// no token is due, it sends load reports as keep-alive events.
 func (eng *Engine) stream(wri http.ResponseWriter, req *http.Request, id string, from int, garble string) {
-	gen, silenced, code := eng.open(id, from)
+	gen, silenced, code := eng.addReader(id, from)
 	if code != "" {
 		eng.refuse(wri, streamStatus[code], code)
 		return
 	}
-	defer eng.release(gen)
+	defer eng.removeReader(gen)
 	eng.setLoad(wri)
 	wri.Header().Set("Content-Type", "text/event-stream")
 	wri.WriteHeader(http.StatusOK)
 	ctl := http.NewResponseController(wri)
-	keepalive := time.NewTicker(keepaliveInterval)
+	keepalive := time.NewTicker(keepAliveInterval)
 	defer keepalive.Stop()
 	for {
 		eng.mutex.Lock()
@@ -116,7 +118,7 @@
 	}
 }
 
-// garbleIndex is the token at which a garbled stream goes wrong.
+// garbleIndex is the index of the token that EngineFaults.Garble corrupts.
 const garbleIndex = 3
 
 func writeToken(wri http.ResponseWriter, id string, index int, text, garble string) {
@@ -134,12 +136,13 @@
 	_, _ = fmt.Fprintf(wri, format, id, index, text)
 }
 
-// handleCancel ends a generation, if it has had no reader for the time in unreadFor.
+// handleCancel cancels a generation. With the parameter unreadFor it refuses unless the generation has had no reader
+// for that time.
 func (eng *Engine) handleCancel(wri http.ResponseWriter, req *http.Request) {
 	unreadFor, _ := time.ParseDuration(req.URL.Query().Get("unreadFor"))
 	eng.mutex.Lock()
 	gen, ok := eng.generations[req.PathValue("id")]
-	if ok && unreadFor > 0 && gen.doneAt.IsZero() && (gen.readers > 0 || time.Since(gen.unreadAt) < unreadFor) {
+	if ok && unreadFor > 0 && gen.doneAt.IsZero() && (gen.readers > 0 || time.Since(gen.readerlessSince) < unreadFor) {
 		eng.mutex.Unlock()
 		eng.refuse(wri, http.StatusConflict, "attached")
 		return
@@ -151,10 +154,10 @@
 	eng.writeLoad(wri)
 }
 
-// cancelUnread cancels the generations that have had no reader for the time given at their start.
-func (eng *Engine) cancelUnread(now time.Time) {
+// cancelReaderless cancels the generations that have had no reader for the time-out given at their start.
+func (eng *Engine) cancelReaderless(now time.Time) {
 	for _, gen := range eng.generations {
-		if gen.unreadFor > 0 && gen.readers == 0 && gen.doneAt.IsZero() && now.Sub(gen.unreadAt) >= gen.unreadFor {
+		if gen.readerlessTimeout > 0 && gen.readers == 0 && gen.doneAt.IsZero() && now.Sub(gen.readerlessSince) >= gen.readerlessTimeout {
 			eng.cancel(now, gen)
 		}
 	}
--- a/standin/keyedstore.go
+++ b/standin/keyedstore.go
@@ -13,8 +13,8 @@
 	"time"
 )
 
-// KeyedStore stands in for the metadata store of the users' machines: topics with one partition whose newest record
-// of each key is kept.
+// KeyedStore stands in for the metadata store of the users' machines: compacted topics with one partition, which keep
+// the newest record of each key.
 type KeyedStore struct {
 	mutex  sync.Mutex
 	topics map[string]*keyedTopic
@@ -22,23 +22,29 @@
 	calls  int
 }
 
-// StoreMode is a disturbance of the store.
+// StoreMode selects a fault that the store injects.
 type StoreMode string
 
 // The modes of the store.
 const (
-	StoreUp     StoreMode = ""
-	StoreBusy   StoreMode = "busy"
+	// StoreUp injects no fault.
+	StoreUp StoreMode = ""
+	// StoreBusy answers each call with status 503.
+	StoreBusy StoreMode = "busy"
+	// StoreSilent never answers and executes no call.
 	StoreSilent StoreMode = "silent"
-	// StoreLoses does what it is asked and gives no answer.
-	StoreLoses StoreMode = "loses"
+	// StoreLosesAnswers executes appends but does not answer them; reads are answered.
+	StoreLosesAnswers StoreMode = "loses"
 )
 
 type keyedTopic struct {
+	// first is the offset of the first record in records.
 	first   int64
 	records []keyedRecord
-	newest  map[string]keyedRecord
-	grown   chan struct{}
+	// newest holds the newest record of each key; it survives compaction.
+	newest map[string]keyedRecord
+	// changed is closed and replaced at each append.
+	changed chan struct{}
 	// deliveries is the number of reads that returned records.
 	deliveries int
 }
@@ -50,9 +56,11 @@
 }
 
 const (
-	keyedReadHeader   = 16
-	keyedRecordHeader = 4
-	maxAppendBytes    = 2 << 20
+	// keyedReadHeaderBytes is the length in bytes of a read response's header: end offset and first offset.
+	keyedReadHeaderBytes = 16
+	// keyedRecordHeaderBytes is the length in bytes of a record's length prefix.
+	keyedRecordHeaderBytes = 4
+	maxAppendBytes         = 2 << 20
 )
 
 // NewKeyedStore returns an empty store.
@@ -60,21 +68,21 @@
 	return &KeyedStore{topics: map[string]*keyedTopic{}}
 }
 
-// SetMode disturbs the store from now on.
+// SetMode changes the fault that the store injects into further calls.
 func (kst *KeyedStore) SetMode(mode StoreMode) {
 	kst.mutex.Lock()
 	defer kst.mutex.Unlock()
 	kst.mode = mode
 }
 
-// Calls returns the number of calls so far.
+// Calls returns the number of calls received so far.
 func (kst *KeyedStore) Calls() int {
 	kst.mutex.Lock()
 	defer kst.mutex.Unlock()
 	return kst.calls
 }
 
-// Put appends the newest record of a key; a nil value drops the key.
+// Put appends a record of a key and returns its offset; a nil value deletes the key.
 func (kst *KeyedStore) Put(topic, key string, value []byte) int64 {
 	kst.mutex.Lock()
 	defer kst.mutex.Unlock()
@@ -86,12 +94,12 @@
 	} else {
 		top.newest[key] = rec
 	}
-	close(top.grown)
-	top.grown = make(chan struct{})
+	close(top.changed)
+	top.changed = make(chan struct{})
 	return rec.offset
 }
 
-// Compact deletes the records of a topic; the newest of each key stay.
+// Compact deletes a topic's records from the log; the newest record of each key can still be read by key.
 func (kst *KeyedStore) Compact(topic string) {
 	kst.mutex.Lock()
 	defer kst.mutex.Unlock()
@@ -103,7 +111,7 @@
 func (kst *KeyedStore) topic(name string) *keyedTopic {
 	top, ok := kst.topics[name]
 	if !ok {
-		top = &keyedTopic{newest: map[string]keyedRecord{}, grown: make(chan struct{})}
+		top = &keyedTopic{newest: map[string]keyedRecord{}, changed: make(chan struct{})}
 		kst.topics[name] = top
 	}
 	return top
@@ -166,19 +174,19 @@
 		kst.mutex.Lock()
 		top := kst.topic(topic)
 		data, trimmed := top.read(from)
-		grown := top.grown
+		changed := top.changed
 		kst.mutex.Unlock()
 		if trimmed {
 			wri.WriteHeader(http.StatusGone)
 			return
 		}
-		if waited || len(data) > keyedReadHeader {
-			kst.deliver(top, len(data) > keyedReadHeader)
+		if waited || len(data) > keyedReadHeaderBytes {
+			kst.countDelivery(top, len(data) > keyedReadHeaderBytes)
 			_, _ = wri.Write(data)
 			return
 		}
 		select {
-		case <-grown:
+		case <-changed:
 		case <-timer.C:
 			waited = true
 		case <-req.Context().Done():
@@ -187,7 +195,8 @@
 	}
 }
 
-func (kst *KeyedStore) deliver(top *keyedTopic, records bool) {
+// countDelivery counts a read of a topic if it returned records.
+func (kst *KeyedStore) countDelivery(top *keyedTopic, records bool) {
 	kst.mutex.Lock()
 	defer kst.mutex.Unlock()
 	if records {
@@ -202,6 +211,7 @@
 	return kst.topic(topic).deliveries
 }
 
+// read returns the response to a read from an offset on; trimmed is true if the records there were compacted away.
 func (top *keyedTopic) read(from int64) (data []byte, trimmed bool) {
 	if from < top.first {
 		return nil, true
@@ -225,17 +235,17 @@
 		return
 	}
 	body, err := io.ReadAll(io.LimitReader(req.Body, maxAppendBytes))
-	if err != nil || len(body) < keyedRecordHeader+1 {
+	if err != nil || len(body) < keyedRecordHeaderBytes+1 {
 		wri.WriteHeader(http.StatusBadRequest)
 		return
 	}
-	end := keyedRecordHeader + 1 + int(body[keyedRecordHeader])
+	end := keyedRecordHeaderBytes + 1 + int(body[keyedRecordHeaderBytes])
 	if end > len(body) {
 		wri.WriteHeader(http.StatusBadRequest)
 		return
 	}
-	offset := kst.Put(topic, string(body[keyedRecordHeader+1:end]), body[end:])
-	if mode == StoreLoses {
+	offset := kst.Put(topic, string(body[keyedRecordHeaderBytes+1:end]), body[end:])
+	if mode == StoreLosesAnswers {
 		<-req.Context().Done()
 		return
 	}
--- a/standin/log.go
+++ b/standin/log.go
@@ -15,13 +15,13 @@
 
 const maxRecordBytes = 8 << 20
 
-// LogFaults are the failures that a log stand-in shows.
+// LogFaults selects the faults that a log stand-in injects.
 type LogFaults struct {
-	// Down refuses every call.
+	// Down answers each call with status 503.
 	Down bool `json:"down"`
-	// DropAnswers is the number of appends that take effect but get no answer.
+	// DropAnswers is the number of further appends that are executed but not answered.
 	DropAnswers int `json:"dropAnswers"`
-	// Delay is added to every call, in milliseconds.
+	// DelayMillis delays each call.
 	DelayMillis int `json:"delayMillis"`
 }
 
@@ -44,12 +44,14 @@
 }
 
 type logStream struct {
+	// first is the offset of the first retained record, or of the next record if there is none.
 	first   int64
 	records []logRecord
+	// changed is closed and replaced at each append.
 	changed chan struct{}
 }
 
-// NewLog returns an empty log that takes a bounded number of appends a second.
+// NewLog returns an empty log that accepts a limited number of appends per second.
 func NewLog(appendsPerSecond int) *Log {
 	return &Log{
 		Retention: 24 * time.Hour,
@@ -86,7 +88,7 @@
 	writeJSON(wri, http.StatusOK, map[string]int64{"appends": log.appends})
 }
 
-// admit applies the faults and reports whether the call may go on.
+// admit applies the delay and the outage to a call and reports whether the call may proceed.
 func (log *Log) admit(wri http.ResponseWriter) bool {
 	log.mutex.Lock()
 	flt := log.faults
@@ -118,6 +120,7 @@
 	writeJSON(wri, http.StatusOK, map[string]int64{"offset": offset})
 }
 
+// append adds a record and returns its offset; answered is false if DropAnswers suppresses the response.
 func (log *Log) append(name string, body []byte) (offset int64, answered bool) {
 	log.mutex.Lock()
 	defer log.mutex.Unlock()
@@ -170,13 +173,17 @@
 }
 
 type logBatch struct {
-	First   int64       `json:"first"`
+	// First is the offset of the first retained record.
+	First int64 `json:"first"`
+	// Next is the offset from which the next read continues.
 	Next    int64       `json:"next"`
 	Records []logRecord `json:"records"`
-	More    bool        `json:"more,omitempty"`
+	// More is true if the batch was cut at the byte limit and further records are available.
+	More bool `json:"more,omitempty"`
 }
 
-// read returns at least one record if there is one, and more as long as their bodies fit.
+// read returns the records from an offset on whose bodies fit maxBytes, but at least one record if there is any, and a
+// channel that is closed at the next append.
 func (log *Log) read(name string, from int64, maxBytes int) (logBatch, <-chan struct{}) {
 	log.mutex.Lock()
 	defer log.mutex.Unlock()
@@ -204,6 +211,7 @@
 	return stm
 }
 
+// expire drops the records that were appended before the given time.
 func (stm *logStream) expire(before time.Time) {
 	for len(stm.records) > 0 && stm.records[0].At.Before(before) {
 		stm.records = stm.records[1:]
--- a/standin/order.go
+++ b/standin/order.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// engineOrder asks an engine to reach a state.
+// engineOrder orders an engine to change the models that it serves.
 type engineOrder struct {
 	Fence   int64  `json:"fence"`
 	Model   string `json:"model"`
@@ -16,20 +16,20 @@
 	Action  string `json:"action"`
 }
 
-// takenOrder is an order that the engine has taken, with the time at which it came.
-type takenOrder struct {
+// acceptedOrder is an order that the engine has accepted, with the time of its receipt.
+type acceptedOrder struct {
 	At time.Time `json:"at"`
 	engineOrder
 }
 
-// handleOrders lists the orders that the engine has taken, in the order in which they came.
+// handleOrders lists the accepted orders in the sequence of their receipt.
 func (eng *Engine) handleOrders(wri http.ResponseWriter, _ *http.Request) {
 	eng.mutex.Lock()
 	defer eng.mutex.Unlock()
-	writeJSON(wri, http.StatusOK, append([]takenOrder{}, eng.orders...))
+	writeJSON(wri, http.StatusOK, append([]acceptedOrder{}, eng.orders...))
 }
 
-// applyOrder reaches the order's end state, which is the present one if the order is repeated.
+// applyOrder applies an order; applying it again changes nothing.
 func (eng *Engine) applyOrder(ord engineOrder) {
 	switch ord.Action {
 	case "assign":
--- a/standin/port.go
+++ b/standin/port.go
@@ -13,15 +13,17 @@
 )
 
 const (
-	// Ports from 32768 on are given to outgoing connections, which took a chosen port before its daemon started.
+	// Only ports below 32768 are chosen: the kernel assigns those from 32768 on to outgoing connections, and one of
+	// these occupied a chosen port before the daemon could listen on it.
 	firstPort = 12000
 	lastPort  = 31999
 )
 
-// portLocks holds the locks of chosen ports until the process ends.
+// portLocks holds the lock files of the chosen ports, by port, open until the process ends.
 var portLocks sync.Map
 
-// FreeAddresses chooses random ports on which nothing listens and that no other process chooses.
+// FreeAddresses returns loopback addresses with random ports on which nothing listens and which no other process that
+// uses this function has chosen.
 func FreeAddresses(count int) ([]string, error) {
 	var addresses []string
 	for len(addresses) < count {
@@ -45,8 +47,8 @@
 	return addresses, nil
 }
 
-// lockPort keeps programs that run at the same time from choosing the same port: one that only probes a port makes
-// the program that starts there fail.
+// lockPort locks a port against other processes that choose ports at the same time, and reports whether it succeeded.
+// Without the lock, a process that probed the port by listening on it made the program that was started there fail.
 func lockPort(port string) (bool, error) {
 	dir := filepath.Join(os.TempDir(), "papayacroft-test-ports")
 	if err := os.MkdirAll(dir, 0o700); err != nil {
--- a/standin/service.go
+++ b/standin/service.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Service is a plain service that counts the runs of each request body.
+// Service is a stand-in for a plain service; it counts how often each call ran, by method, path and body.
 type Service struct {
 	Name  string
 	Delay time.Duration
@@ -16,7 +16,7 @@
 	runs  map[string]int
 }
 
-// NewService returns a service that has run nothing.
+// NewService returns a service with no counted calls.
 func NewService() *Service {
 	return &Service{Name: "service", runs: map[string]int{}}
 }
@@ -30,7 +30,7 @@
 }
 
 func (svc *Service) handleCall(wri http.ResponseWriter, req *http.Request) {
-	body, err := io.ReadAll(http.MaxBytesReader(wri, req.Body, maxEngineBody))
+	body, err := io.ReadAll(http.MaxBytesReader(wri, req.Body, maxEngineBodyBytes))
 	if err != nil {
 		http.Error(wri, err.Error(), http.StatusBadRequest)
 		return
--- a/standin/sitecall.go
+++ b/standin/sitecall.go
@@ -10,7 +10,7 @@
 	"github.com/gravitational/trace"
 )
 
-// NewSiteCall returns a request as a caller of the users' machines sends it.
+// NewSiteCall returns a request with the headers that callers on the users' machines send; id identifies the attempt.
 func NewSiteCall(ctx context.Context, target, id, key string, deadline time.Duration) (*http.Request, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, target, strings.NewReader("body of "+id))
 	if err != nil {
@@ -24,7 +24,8 @@
 	return req, nil
 }
 
-// SiteSignature returns what proves that an answer is an endpoint's; it is empty if there is none.
+// SiteSignature returns the signature by which an endpoint proves that a response is its own, or an empty string if
+// the response is not signed.
 func SiteSignature(res *http.Response) string {
 	return res.Header.Get("Response-Signature")
 }
--- a/standin/siteengine.go
+++ b/standin/siteengine.go
@@ -11,25 +11,26 @@
 	"time"
 )
 
-// EngineMode is how an endpoint treats requests.
+// EngineMode selects how an endpoint answers requests.
 type EngineMode string
 
 // The modes of an endpoint.
 const (
+	// EngineServes runs each request and answers it.
 	EngineServes EngineMode = ""
-	// EngineSheds refuses each request and says that it did not run.
+	// EngineSheds refuses each request with status 503 and the header Not-Executed.
 	EngineSheds EngineMode = "sheds"
-	// EngineFails runs each request and answers 500.
+	// EngineFails runs each request and answers with status 500.
 	EngineFails EngineMode = "fails"
-	// EngineCuts runs each request and ends the connection in the middle of its answer.
+	// EngineCuts runs each request and closes the connection in the middle of the response.
 	EngineCuts EngineMode = "cuts"
 	// EngineHangs runs each request and never answers.
 	EngineHangs EngineMode = "hangs"
-	// EngineForeign answers with the id of another request.
+	// EngineForeign answers with the attempt id of another request.
 	EngineForeign EngineMode = "foreign"
-	// EngineCrashes ends with the first request that it runs.
+	// EngineCrashes stops the endpoint when it runs a request.
 	EngineCrashes EngineMode = "crashes"
-	// EngineUnsigned answers without a signature.
+	// EngineUnsigned answers without a response signature.
 	EngineUnsigned EngineMode = "unsigned"
 )
 
@@ -39,45 +40,52 @@
 	// At is when the run began.
 	At           time.Time
 	Organisation string
-	Authorized   bool
-	// Copied is true if the run goes on from a copy of another run's memory.
-	Copied   bool
+	// Authorized is true if the request had an Authorization header.
+	Authorized bool
+	// Copied is true if the run continues from a copy of another run's memory.
+	Copied bool
+	// Deadline is the request's Deadline-Ms header, in milliseconds.
 	Deadline int
 	Body     string
-	// CutAt is true if the caller closed the connection before the end.
+	// Cut is true if the caller closed the connection before the response was complete.
 	Cut bool
 }
 
-// SiteEngine stands in for an endpoint of the users' machines: plain calls, and generations that can be moved.
+// SiteEngine stands in for an endpoint on the users' machines. It answers plain calls and runs generations, which can
+// be moved to other endpoints of its site.
 type SiteEngine struct {
 	ID string
-	// Interval is the time between two events.
+	// Interval is the time between two events of a stream.
 	Interval time.Duration
-	// CopyTime is how long a copy of a generation's memory takes.
+	// CopyTime is how long it takes to copy a generation's memory, except for the last copy, which takes no time.
 	CopyTime time.Duration
-	// Crash ends the endpoint.
+	// Crash stops the endpoint.
 	Crash func()
-	// Site has the engines by address.
+	// Site holds the engines to which generations can be moved.
 	Site *SiteEngines
 
 	mutex   sync.Mutex
 	mode    EngineMode
-	leaves  bool
+	leaving bool
 	runs    []*SiteRun
-	active  map[string]*siteGeneration
-	copies  map[string]int
-	handles int
-	refuse  bool
+	// active holds the open streams by attempt id.
+	active map[string]*siteGeneration
+	// copies holds, by handle, the number of events that a copied generation had produced.
+	copies map[string]int
+	// handleCount numbers the handles of copies.
+	handleCount  int
+	refuseCopies bool
 }
 
-// siteGeneration is a stream that is being made.
+// siteGeneration is a stream that is being sent.
 type siteGeneration struct {
+	// made is the number of events produced so far, those before a move included.
 	made    int
 	stopped chan struct{}
 	once    sync.Once
 }
 
-// NewSiteEngine returns an endpoint without runs.
+// NewSiteEngine returns an endpoint without runs, alone on its site.
 func NewSiteEngine(id string) *SiteEngine {
 	return &SiteEngine{
 		ID: id, Interval: 5 * time.Millisecond, Site: NewSiteEngines(),
@@ -85,28 +93,28 @@
 	}
 }
 
-// SetMode changes how requests are treated from now on.
+// SetMode changes how further requests are answered.
 func (sen *SiteEngine) SetMode(mode EngineMode) {
 	sen.mutex.Lock()
 	defer sen.mutex.Unlock()
 	sen.mode = mode
 }
 
-// SetLeaves makes the endpoint's report say that it leaves.
+// SetLeaves makes the endpoint report the state "draining" with the time until it leaves.
 func (sen *SiteEngine) SetLeaves() {
 	sen.mutex.Lock()
 	defer sen.mutex.Unlock()
-	sen.leaves = true
+	sen.leaving = true
 }
 
-// RefuseCopies makes the engine take no copies for lack of room.
+// RefuseCopies makes the engine refuse copies of generations with status 503, as if its memory were full.
 func (sen *SiteEngine) RefuseCopies() {
 	sen.mutex.Lock()
 	defer sen.mutex.Unlock()
-	sen.refuse = true
+	sen.refuseCopies = true
 }
 
-// Stop breaks off all generations.
+// Stop aborts the streams of all generations.
 func (sen *SiteEngine) Stop() {
 	sen.mutex.Lock()
 	defer sen.mutex.Unlock()
@@ -115,7 +123,7 @@
 	}
 }
 
-// Runs returns the runs so far.
+// Runs returns all runs so far, in the sequence of their start.
 func (sen *SiteEngine) Runs() []SiteRun {
 	sen.mutex.Lock()
 	defer sen.mutex.Unlock()
@@ -130,10 +138,10 @@
 	gen.once.Do(func() { close(gen.stopped) })
 }
 
-// ServeHTTP answers requests and control calls.
+// ServeHTTP answers callers' requests and the control calls under /-/.
 func (sen *SiteEngine) ServeHTTP(wri http.ResponseWriter, req *http.Request) {
 	if handle, ok := strings.CutPrefix(req.URL.Path, "/-/kv-handle/"); ok {
-		sen.dropCopy(handle)
+		sen.deleteCopy(handle)
 		return
 	}
 	switch req.URL.Path {
@@ -154,12 +162,14 @@
 		runs = append(runs, []any{id, gen.made, gen.made, 1})
 	}
 	report := map[string]any{"state": "ready", "runs": runs, "running": len(runs)}
-	if sen.leaves {
+	if sen.leaving {
 		report["state"], report["leaves_ms"] = "draining", 1500
 	}
 	_ = json.NewEncoder(wri).Encode(report)
 }
 
+// serveMove copies a generation's memory to another engine and returns the copy's handle. The last copy of a move also
+// stops the generation here.
 func (sen *SiteEngine) serveMove(wri http.ResponseWriter, req *http.Request) {
 	var msg struct {
 		ID   string `json:"id"`
@@ -172,8 +182,8 @@
 	}
 	sen.mutex.Lock()
 	gen, ok := sen.active[msg.ID]
-	sen.handles++
-	handle := fmt.Sprintf("%s-%d", sen.ID, sen.handles)
+	sen.handleCount++
+	handle := fmt.Sprintf("%s-%d", sen.ID, sen.handleCount)
 	sen.mutex.Unlock()
 	target := sen.Site.At(msg.To)
 	if !ok {
@@ -183,7 +193,7 @@
 	if msg.Last {
 		gen.stop()
 	}
-	if target == nil || target.takesNoCopies() {
+	if target == nil || target.refusesCopies() {
 		wri.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
@@ -199,8 +209,8 @@
 	_ = json.NewEncoder(wri).Encode(map[string]any{"handle": handle, "createRev": made})
 }
 
-// dropCopy frees a copy at this endpoint and the others.
-func (sen *SiteEngine) dropCopy(handle string) {
+// deleteCopy deletes a copy at all endpoints of the site.
+func (sen *SiteEngine) deleteCopy(handle string) {
 	for _, peer := range sen.Site.All() {
 		peer.mutex.Lock()
 		delete(peer.copies, handle)
@@ -208,12 +218,14 @@
 	}
 }
 
-func (sen *SiteEngine) takesNoCopies() bool {
+func (sen *SiteEngine) refusesCopies() bool {
 	sen.mutex.Lock()
 	defer sen.mutex.Unlock()
-	return sen.refuse
+	return sen.refuseCopies
 }
 
+// serveRequest records and answers a run. A stream starts at event 1, or after the events of the copy in Kv-From, or
+// after Last-Event-Id; a request whose copy is missing is refused as not executed.
 func (sen *SiteEngine) serveRequest(wri http.ResponseWriter, req *http.Request) {
 	hdr := req.Header
 	if expected := hdr.Get("Expect-Instance"); expected != "" && expected != sen.ID {
--- a/standin/siteengines.go
+++ b/standin/siteengines.go
@@ -2,7 +2,7 @@
 
 import "sync"
 
-// SiteEngines are the engines of a site by address.
+// SiteEngines holds the engines of a site by address.
 type SiteEngines struct {
 	mutex   sync.Mutex
 	engines map[string]*SiteEngine
@@ -13,7 +13,7 @@
 	return &SiteEngines{engines: map[string]*SiteEngine{}}
 }
 
-// Put adds an engine, or replaces the one that had the address.
+// Put adds an engine; it replaces an engine with the same address.
 func (ses *SiteEngines) Put(address string, sen *SiteEngine) {
 	ses.mutex.Lock()
 	defer ses.mutex.Unlock()
@@ -21,14 +21,14 @@
 	sen.Site = ses
 }
 
-// At returns the engine at an address, nil if there is none.
+// At returns the engine at an address, or nil.
 func (ses *SiteEngines) At(address string) *SiteEngine {
 	ses.mutex.Lock()
 	defer ses.mutex.Unlock()
 	return ses.engines[address]
 }
 
-// All returns all engines.
+// All returns all engines in no particular order.
 func (ses *SiteEngines) All() []*SiteEngine {
 	ses.mutex.Lock()
 	defer ses.mutex.Unlock()
--- a/standin/vms.go
+++ b/standin/vms.go
@@ -9,7 +9,7 @@
 	"golang.org/x/time/rate"
 )
 
-// VM is one entry of the list.
+// VM is one entry of the list of VMs.
 type VM struct {
 	Name          string `json:"name"`
 	Address       string `json:"address"`
@@ -17,17 +17,19 @@
 	State         string `json:"state"`
 }
 
-// VMs is a list of VMs that shows changes late.
+// VMs is a list of VMs in which changes become visible after a delay.
 type VMs struct {
+	// Lag is the time from a change until it is visible.
 	Lag time.Duration
 
 	mutex sync.Mutex
-	shown []VM
+	// visible is the list that readers get.
+	visible []VM
 }
 
 // NewVMs returns a list with the given entries.
 func NewVMs(vms []VM) *VMs {
-	return &VMs{shown: vms}
+	return &VMs{visible: vms}
 }
 
 // Handler returns the routes of the list.
@@ -41,7 +43,7 @@
 func (lst *VMs) handleGet(wri http.ResponseWriter, _ *http.Request) {
 	lst.mutex.Lock()
 	defer lst.mutex.Unlock()
-	writeJSON(wri, http.StatusOK, lst.shown)
+	writeJSON(wri, http.StatusOK, lst.visible)
 }
 
 // handlePut replaces the list after the lag.
@@ -54,11 +56,11 @@
 	time.AfterFunc(lst.Lag, func() {
 		lst.mutex.Lock()
 		defer lst.mutex.Unlock()
-		lst.shown = vms
+		lst.visible = vms
 	})
 }
 
-// Weights is a weight store that grants a bounded number of loads a second.
+// Weights is a weight store that grants a limited number of weight loads per second.
 type Weights struct {
 	limiter *rate.Limiter
 	mutex   sync.Mutex
@@ -67,7 +69,8 @@
 	refused int64
 }
 
-// NewWeights returns a weight store with a rate and a burst of one second.
+// NewWeights returns a weight store that grants the given number of loads per second, with bursts of up to one
+// second's loads.
 func NewWeights(loadsPerSecond int) *Weights {
 	return &Weights{limiter: rate.NewLimiter(rate.Limit(loadsPerSecond), loadsPerSecond)}
 }
