--- a/capacity/cluster.go
+++ b/capacity/cluster.go
@@ -21,21 +21,25 @@
 )
 
 const (
-	startTimeout    = 15 * time.Second
-	clockTicks      = 100 // USER_HZ of Linux
-	outputTokens    = 2000
-	targetOrgs      = 6200
-	engineProcesses = 2
+	startTimeout        = 15 * time.Second
+	clockTicksPerSecond = 100 // USER_HZ of Linux
+	outputTokens        = 2000
+	targetOrganisations = 6200
+	engineProcesses     = 2
 )
 
-// cluster is one daemon with the stand-ins that it needs, as processes on loopback.
+// cluster is one daemon and the stand-ins that it needs, as processes on loopback.
 type cluster struct {
-	programs string
-	dir      string
-	running  []*exec.Cmd
-	daemon   *exec.Cmd
-	entry    string
-	admin    string
+	// programDir is the directory of the built programs.
+	programDir string
+	// dir is a temporary directory for settings and keys.
+	dir string
+	// running holds the started processes, the daemon included.
+	running []*exec.Cmd
+	daemon  *exec.Cmd
+	// entry and admin are the daemon's addresses for callers and for administration.
+	entry string
+	admin string
 }
 
 // startCluster starts stand-ins and a daemon and publishes a configuration with the given number of organisations.
@@ -44,7 +48,7 @@
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
-	clu := &cluster{programs: programs, dir: dir}
+	clu := &cluster{programDir: programs, dir: dir}
 	if err := clu.start(organisations, tokenInterval); err != nil {
 		clu.stop()
 		return nil, trace.Wrap(err)
@@ -52,6 +56,7 @@
 	return clu, nil
 }
 
+// start starts the stand-ins and the daemon, publishes the configuration and waits until the daemon is ready.
 func (clu *cluster) start(organisations int, tokenInterval time.Duration) error {
 	adr, err := standin.FreeAddresses(5 + engineProcesses)
 	if err != nil {
@@ -62,17 +67,17 @@
 	if err := clu.writeFiles(log, vms, peerAddress); err != nil {
 		return trace.Wrap(err)
 	}
-	standin := [][]string{
+	commands := [][]string{
 		{"log", "--address", log},
 		{"vms", "--address", vms, "--file", filepath.Join(clu.dir, "vms.json")},
 	}
 	for _, address := range engines {
-		standin = append(standin, []string{
+		commands = append(commands, []string{
 			"engine", "--address", address, "--models", "model-0", "--capacity-tokens", "1000000000",
 			"--output-tokens", strconv.Itoa(outputTokens), "--token-interval", tokenInterval.String(),
 		})
 	}
-	for _, args := range standin {
+	for _, args := range commands {
 		if _, err := clu.run("papayacroft-standin", args...); err != nil {
 			return trace.Wrap(err)
 		}
@@ -80,13 +85,13 @@
 	if clu.daemon, err = clu.run("papayacroftd", "--settings", filepath.Join(clu.dir, "entry.yaml")); err != nil {
 		return trace.Wrap(err)
 	}
-	if err := clu.await("/healthz"); err != nil {
+	if err := clu.awaitOK("/healthz"); err != nil {
 		return trace.Wrap(err)
 	}
 	if err := publish(log, organisations, engines); err != nil {
 		return trace.Wrap(err)
 	}
-	return clu.await("/readyz")
+	return clu.awaitOK("/readyz")
 }
 
 func (clu *cluster) writeFiles(log, vms, peerAddress string) error {
@@ -103,7 +108,7 @@
 	return nil
 }
 
-// publish appends a configuration in which model-0 is served by the given engines.
+// publish appends a configuration in which only the given engines serve model-0 and organisations have no limits.
 func publish(log string, organisations int, engines []string) error {
 	cfg := scaledConfiguration(organisations, targetEngines, targetModels)
 	for name, edp := range cfg.Endpoints {
@@ -132,7 +137,7 @@
 }
 
 func (clu *cluster) run(program string, args ...string) (*exec.Cmd, error) {
-	cmd := exec.Command(filepath.Join(clu.programs, program), args...) //nolint:gosec // The directory is an argument of this program.
+	cmd := exec.Command(filepath.Join(clu.programDir, program), args...) //nolint:gosec // The directory is an argument of this program.
 	cmd.Stderr = os.Stderr
 	if err := cmd.Start(); err != nil {
 		return nil, trace.Wrap(err)
@@ -141,7 +146,8 @@
 	return cmd, nil
 }
 
-func (clu *cluster) await(path string) error {
+// awaitOK waits until a path of the daemon's administration address answers with status 200.
+func (clu *cluster) awaitOK(path string) error {
 	deadline := time.Now().Add(startTimeout)
 	for time.Now().Before(deadline) {
 		res, err := http.Get("http://" + clu.admin + path)
@@ -153,7 +159,7 @@
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
-	return trace.LimitExceeded("%s of the daemon is not 200 after %s", path, startTimeout)
+	return trace.LimitExceeded("daemon did not answer %s with status 200 within %s", path, startTimeout)
 }
 
 func (clu *cluster) stop() {
@@ -164,7 +170,7 @@
 	_ = os.RemoveAll(clu.dir)
 }
 
-// cpuSeconds returns the daemon's processor time so far.
+// cpuSeconds returns the processor time that the daemon has used so far.
 func (clu *cluster) cpuSeconds() (float64, error) {
 	data, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", clu.daemon.Process.Pid))
 	if err != nil {
@@ -176,7 +182,7 @@
 		return 0, trace.Wrap(err)
 	}
 	system, err := strconv.ParseFloat(fields[12], 64)
-	return (user + system) / clockTicks, trace.Wrap(err)
+	return (user + system) / clockTicksPerSecond, trace.Wrap(err)
 }
 
 // memoryMiB returns the daemon's resident memory.
@@ -199,7 +205,7 @@
 	if err != nil {
 		return trace.Wrap(err)
 	}
-	// organisation-0, -39, -40, -79, ... are approved by owner-0.
+	// The engines belong to owner-0, which has approved the teams of organisation-0.
 	req.Header.Set("Authorization", fmt.Sprintf("Bearer organisation-%d/team-%d", 0, number%teamsPerOrganisation))
 	res, err := http.DefaultTransport.RoundTrip(req)
 	if err != nil {
--- a/capacity/main.go
+++ b/capacity/main.go
@@ -1,4 +1,5 @@
-// Command capacity measures the slopes from which docs/CAPACITY.md works out the target size.
+// Command capacity measures how the use of resources grows with the size of a deployment. docs/CAPACITY.md
+// extrapolates from its results to the target size.
 package main
 
 import (
@@ -41,7 +42,7 @@
 	return cmd
 }
 
-// measurements lists what is measured, in the order of the page.
+// measurements lists the measurements in the order of docs/CAPACITY.md.
 func measurements(programs string) []func() ([]Slope, error) {
 	return []func() ([]Slope, error){
 		measureConfiguration,
--- a/capacity/measure_configuration.go
+++ b/capacity/measure_configuration.go
@@ -13,16 +13,18 @@
 )
 
 const (
+	// targetEngines and targetModels are the numbers of engines and models at the target size.
 	targetEngines = 1000
 	targetModels  = 32
-	applyRepeats  = 5
+	// applyRepeats is the number of applied changes of which medianApplyTime returns the median time.
+	applyRepeats = 5
 
 	perOrganisation = "organisation"
 )
 
 var organisationSizes = []int{100, 1000, 3000, 6200}
 
-// measureConfiguration measures what organisations cost in the configuration.
+// measureConfiguration measures how apply time, heap and record sizes grow with the number of organisations.
 func measureConfiguration() ([]Slope, error) {
 	apply := Slope{Name: "apply one publish and rebuild the index", Unit: "ms", Size: perOrganisation}
 	heap := Slope{Name: "heap of configuration and index", Unit: "KiB", Size: perOrganisation}
@@ -42,7 +44,7 @@
 			return nil, trace.Wrap(err)
 		}
 		snapshot.add(float64(size), float64(len(snp.Content)))
-		elapsed, recordBytes, err := applyOne(sta)
+		elapsed, recordBytes, err := medianApplyTime(sta)
 		if err != nil {
 			return nil, trace.Wrap(err)
 		}
@@ -52,7 +54,7 @@
 	return []Slope{apply, heap, snapshot, record}, nil
 }
 
-// stateOf returns a state with a configuration in force as its first version.
+// stateOf returns a state in which the configuration is in force as the first version.
 func stateOf(cfg *inventory.Configuration) (*configuration.State, error) {
 	changes, err := inventory.Diff(&inventory.Configuration{}, cfg)
 	if err != nil {
@@ -62,6 +64,7 @@
 	return sta, trace.Wrap(applyChanges(sta, 1, changes))
 }
 
+// applyChanges applies a publish record at the given offset; a record that is not accepted is an error.
 func applyChanges(sta *configuration.State, offset int64, changes []inventory.Change) error {
 	body, err := publishRecord(sta.Current.Number, offset, changes)
 	if err != nil {
@@ -74,6 +77,7 @@
 	return trace.Wrap(err)
 }
 
+// publishRecord serializes a publish of changes to version basedOn; number makes the publish id unique.
 func publishRecord(basedOn, number int64, changes []inventory.Change) ([]byte, error) {
 	rec := &configuration.Record{Publish: &configuration.Publish{
 		PublishID: time.Now().Format(time.RFC3339Nano) + string(rune('a'+number%26)), BasedOn: basedOn, Changes: changes,
@@ -81,8 +85,9 @@
 	return rec.Serialize()
 }
 
-// applyOne measures the median time to put a change of one organisation in force.
-func applyOne(sta *configuration.State) (time.Duration, int, error) {
+// medianApplyTime returns the median time to apply a change of one organisation and rebuild the index, and the size of
+// the publish record in bytes.
+func medianApplyTime(sta *configuration.State) (time.Duration, int, error) {
 	var times []time.Duration
 	size := 0
 	for i := range applyRepeats {
@@ -109,6 +114,7 @@
 	return median(times), size, nil
 }
 
+// heapBytes returns the size of the live heap.
 func heapBytes() int64 {
 	runtime.GC()
 	var sta runtime.MemStats
--- a/capacity/measure_decision.go
+++ b/capacity/measure_decision.go
@@ -14,7 +14,7 @@
 
 var candidateSizes = []int{8, 31, 125, 500}
 
-// measureDecision measures one routing decision by the number of engines that serve the model.
+// measureDecision measures how the time of a routing decision grows with the number of engines that serve the model.
 func measureDecision() ([]Slope, error) {
 	slp := Slope{Name: "routing decision", Unit: "ns", Size: "candidate engine"}
 	for _, size := range candidateSizes {
@@ -35,7 +35,8 @@
 	return []Slope{slp}, nil
 }
 
-// measurePosition measures signing a stream and appending an index.
+// measurePosition measures how the time to serialize the positions of a stream grows with its tokens. The stream is
+// signed once; each token's position appends its index.
 func measurePosition() ([]Slope, error) {
 	sgn := position.NewSigner([]byte("capacity-key-capacity-key-capacity-key"))
 	stm := position.Stream{Generation: "4d1f4f80-7ad5-4c2f-9b1f-6d5f5f6d1d10", Endpoint: "engine-1", Model: "model-1", Class: scaleClass, Deadline: time.Now()}
--- a/capacity/measure_traffic.go
+++ b/capacity/measure_traffic.go
@@ -10,22 +10,27 @@
 )
 
 const (
+	// trafficTime is how long processor time is measured while streams are open.
 	trafficTime = 5 * time.Second
-	settleTime  = 2 * time.Second
-	idleTime    = 10 * time.Second
+	// settleTime is the pause before a measurement, so that the start of daemon and streams does not affect it.
+	settleTime = 2 * time.Second
+	// idleTime is how long processor time is measured without traffic.
+	idleTime = 10 * time.Second
 )
 
-// load is a number of open streams on a cluster.
-type load struct {
+// streamLoad is a set of open streams through a cluster's daemon.
+type streamLoad struct {
+	// tokens counts the tokens that all streams have received.
 	tokens atomic.Int64
 	cancel context.CancelFunc
 	group  sync.WaitGroup
+	// failed counts the streams that could not be opened.
 	failed atomic.Int64
 }
 
-func openStreams(clu *cluster, count int) *load {
+func openStreams(clu *cluster, count int) *streamLoad {
 	ctx, cancel := context.WithCancel(context.Background())
-	lod := &load{cancel: cancel}
+	lod := &streamLoad{cancel: cancel}
 	for number := range count {
 		lod.group.Go(func() {
 			if err := clu.stream(ctx, number, func(read int) { lod.tokens.Add(int64(read)) }); err != nil && ctx.Err() == nil {
@@ -37,20 +42,21 @@
 	return lod
 }
 
-func (lod *load) close() error {
+// close ends the streams; it returns an error if some could not be opened.
+func (lod *streamLoad) close() error {
 	lod.cancel()
 	lod.group.Wait()
 	if failed := lod.failed.Load(); failed > 0 {
-		return trace.BadParameter("%d streams failed", failed)
+		return trace.BadParameter("%d streams could not be opened", failed)
 	}
 	return nil
 }
 
-// measureTokens measures the daemon's processor time by tokens relayed a second.
+// measureTokens measures how the daemon's processor time grows with the rate of relayed tokens.
 func measureTokens(programs string) ([]Slope, error) {
 	slp := Slope{Name: "processor time of the daemon for relaying", Unit: "cores", Size: "token/s"}
 	for _, streams := range []int{20, 100, 200, 400} {
-		clu, err := startCluster(programs, targetOrgs, 20*time.Millisecond)
+		clu, err := startCluster(programs, targetOrganisations, 20*time.Millisecond)
 		if err != nil {
 			return nil, trace.Wrap(err)
 		}
@@ -64,6 +70,8 @@
 	return []Slope{slp}, nil
 }
 
+// relayCost returns the number of cores that the daemon uses with open streams, and the tokens per second that it
+// relays.
 func relayCost(clu *cluster, streams int) (cores, rate float64, err error) {
 	lod := openStreams(clu, streams)
 	cpuBefore, err := clu.cpuSeconds()
@@ -81,11 +89,11 @@
 	return (cpuAfter - cpuBefore) / elapsed, rate, trace.Wrap(lod.close())
 }
 
-// measureStreams measures the daemon's memory by open streams, each with a token a second.
+// measureStreams measures how the daemon's memory grows with the number of open streams, each of one token per second.
 func measureStreams(programs string) ([]Slope, error) {
 	slp := Slope{Name: "resident memory of the daemon", Unit: "MiB", Size: "open stream"}
 	for _, streams := range []int{0, 500, 1000, 2000} {
-		clu, err := startCluster(programs, targetOrgs, time.Second)
+		clu, err := startCluster(programs, targetOrganisations, time.Second)
 		if err != nil {
 			return nil, trace.Wrap(err)
 		}
@@ -102,7 +110,8 @@
 	return []Slope{slp}, nil
 }
 
-// measureIdle measures processor time and memory of a daemon without traffic by organisations.
+// measureIdle measures how processor time and memory of a daemon without traffic grow with the number of
+// organisations.
 func measureIdle(programs string) ([]Slope, error) {
 	cpu := Slope{Name: "processor time of an idle daemon", Unit: "% of a core", Size: perOrganisation}
 	memory := Slope{Name: "resident memory of an idle daemon", Unit: "MiB", Size: perOrganisation}
--- a/capacity/scale.go
+++ b/capacity/scale.go
@@ -15,7 +15,8 @@
 	scaleClass           = "writeUp"
 )
 
-// scaledConfiguration returns a valid configuration of a given size.
+// scaledConfiguration returns a valid configuration with the given numbers of organisations, engines and models; each
+// model has a pool of its own.
 func scaledConfiguration(organisations, engines, models int) *inventory.Configuration {
 	cfg := &inventory.Configuration{
 		Organisations: map[string]inventory.Organisation{},
@@ -44,7 +45,7 @@
 	return cfg
 }
 
-// addOrganisations gives each organisation three teams, each approved by two owners.
+// addOrganisations adds owners and organisations; each organisation has three teams, and two owners approve each team.
 func addOrganisations(cfg *inventory.Configuration, count int) {
 	for i := range scaleOwners {
 		name := fmt.Sprintf("owner-%d", i)
--- a/capacity/slope.go
+++ b/capacity/slope.go
@@ -8,7 +8,7 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// Slope is a quantity measured at a few sizes with a straight line fitted to it.
+// Slope is a quantity that is measured at several sizes, for a linear regression over the size.
 type Slope struct {
 	Name string
 	// Unit is the unit of the values, Size that of the sizes.
@@ -18,13 +18,13 @@
 	Values []float64
 }
 
-// add notes one measured point.
+// add adds a measured point.
 func (slp *Slope) add(size, value float64) {
 	slp.Sizes = append(slp.Sizes, size)
 	slp.Values = append(slp.Values, value)
 }
 
-// fit returns the line's intercept and slope and the largest residual relative to the largest value.
+// fit returns intercept and slope of the regression line, and the largest residual relative to the largest value.
 func (slp *Slope) fit() (intercept, slope, residual float64) {
 	intercept, slope = stat.LinearRegression(slp.Sizes, slp.Values, nil, false)
 	largest := 0.0
