--- a/GNUmakefile
+++ b/GNUmakefile
@@ -16,29 +16,31 @@
 scenario:
 	go test ./test -run TestScenarios -count=2 -timeout 30m
 
-# Measures the latency of votes and the appends that they take, and the cost of limits.
+# claims measures the latency of votes, the log appends that they need, and the cost of limits.
 claims:
 	go test ./claim -run '^$$' -bench 'Votes|Table' -benchtime 1x -timeout 10m
 	go test ./limit -run '^$$' -bench 'Acquire|Message'
 
-# Measures the bytes that limits take over 8 to 400 daemons, and how they hold a flood, in simulated time (20 min).
+# limits measures the network traffic of limits for 8 to 400 daemons, and how well limits hold during a flood of
+# requests, in simulated time (20 min).
 limits:
 	go test ./limit -run '^$$' -bench Network -benchtime 1x -timeout 60m
 
 model:
 	script/model
 
-# shared-state measures configuration and membership.
+# shared-state measures configuration and membership: benchmarks, gossip traffic, and the time of a publish.
 shared-state: build
 	go test ./configuration -run xxx -bench . -benchmem
 	go test ./membership -run TestGossipStaysInBudget -v -count=1
 	script/measure-publish
 
-# fleet runs membership at 400 members in simulated time; make test runs it at 100 under the race detector.
+# fleet tests membership with 400 members in simulated time; make test uses 100 members under the race detector.
 fleet:
 	go test ./membership -run 'TestFleet|TestGossipStaysInBudget' -v -count=1 -parallel 3 -timeout 10m
 
-# measure-fleet times configuration changes over 100 real daemons (DAEMONS, ORGANISATIONS, PUBLISHES).
+# measure-fleet measures how long configuration changes take to reach 100 daemon processes (DAEMONS, ORGANISATIONS and
+# PUBLISHES change the size).
 measure-fleet: build
 	script/measure-fleet
 
@@ -55,14 +57,15 @@
 fmt:
 	golangci-lint fmt
 
-# soak runs daemons as processes under random faults; each seed has a plan of its own (SEED, SEEDS, DURATION).
+# soak runs daemons as processes under random faults; each seed gives a different fault plan (SEED, SEEDS, DURATION).
 SEED ?= 1
 SEEDS ?= 1
 DURATION ?= 40s
 soak: build
 	go run ./soak --program bin/papayacroftd --seed $(SEED) --seeds $(SEEDS) --duration $(DURATION)
 
-# proof takes mechanisms out of a scratch copy and shows that the scripts that guard them fail (10 min).
+# proof removes mechanisms from a scratch copy of the sources, one change at a time, and checks that the test scripts of
+# the removed mechanism then fail (10 min).
 proof:
 	go run ./proof
 
--- a/model/claim.pml
+++ b/model/claim.pml
@@ -1,7 +1,7 @@
 /*
- * Claim and dispatch of a request that may not be repeated (design section 5.2).
- * All attempts carry one key; attempt r runs on daemon r % 2. Its first claim has the id r. Attempts 1 and 2 may
- * replace a given-up claim with a second one, which has the id r + 2.
+ * Claim and dispatch of a request that must not run more than once (design section 5.2).
+ * All attempts have the same idempotency key; attempt r runs on daemon r % 2 and its first claim has the id r.
+ * Attempts 1 and 2 may replace a given-up claim of another attempt with a second claim, which has the id r + 2.
  */
 
 #define ATTEMPTS 3
@@ -10,7 +10,7 @@
 #define COPIES 1
 #define NONE 255
 
-/* The claimant's memory of a claim. */
+/* State of a claim in the claimant's memory. */
 #define UNKNOWN 0
 #define PENDING 1
 #define DISPATCHED 2
@@ -24,16 +24,16 @@
 byte state[IDS];
 
 /* Sets of claims. */
-byte asked;          /* writers have been asked to append it */
-byte appended;
-byte toldNotRun;     /* its caller heard notRun */
-byte copies;         /* appends of claims that are on the log already */
-byte told;           /* size of toldNotRun */
-byte ran = NONE;     /* the claim under which an endpoint began the request */
+byte asked;          /* claims that a writer has been requested to append */
+byte appended;       /* claims that are on the log */
+byte toldNotRun;     /* claims whose caller was answered notRun */
+byte copies;         /* number of repeated appends of claims that were already on the log */
+byte told;           /* number of claims in toldNotRun */
+byte ran = NONE;     /* the claim under which an endpoint started the request */
 
 /* Sets of attempts. */
-byte begun;
-byte dead;           /* the daemon crashed after the attempt began */
+byte begun;          /* attempts that have started */
+byte dead;           /* attempts whose daemon crashed after they started */
 
 #ifdef WRONG_NO_AGE_CHECK
 #define CHECKED_AGE true
@@ -49,7 +49,10 @@
 #define HAS(set, x) ((set >> (x)) & 1)
 #define ADD(set, x) set = set | (1 << (x))
 
-/* Two writers may be asked for one claim, and an append whose answer is lost is repeated, possibly much later. */
+/*
+ * Duplicate appends: a claim may be sent to two writers, and an append whose response is lost is repeated, possibly
+ * much later.
+ */
 #define WRITE(x) \
 	d_step { tail < MAXLOG && HAS(asked, x) && !HAS(appended, x) -> ADD(appended, x); rec[tail] = x; tail++ }
 #define WRITE_AGAIN(x) \
@@ -63,7 +66,7 @@
 	od
 }
 
-/* The rule of the table for one record. */
+/* Applies one claim record to the claim table, that is, to holder. */
 inline apply(id) {
 	if
 	:: holder == NONE -> holder = id
@@ -79,7 +82,7 @@
 	fi
 }
 
-/* Reads from the given record up to the last one, or up to the one before it by a table that lags. */
+/* Builds the claim table from the records of the range from..to-1. */
 inline readTable(from, to) {
 	d_step {
 		holder = NONE;
@@ -93,7 +96,7 @@
 	}
 }
 
-/* Counts in left the claims in x's chain of replaced claims whose callers heard notRun. */
+/* Sets left to the number of claims in x's chain of replaced claims whose callers were answered notRun. */
 inline countReplaced(x) {
 	at = replaces[x];
 	left = 0;
@@ -109,19 +112,22 @@
 	at = 0
 }
 
-/* An endpoint begins the request. */
+/* An endpoint starts the request under claim x. */
 inline dispatch(x) {
 	d_step {
 		assert(ran == NONE);       /* at most one dispatch */
 		assert(!HAS(toldNotRun, x));
 		countReplaced(x);
-		assert(left == told);      /* after notRun, only claims that replaced that one are dispatched */
+		assert(left == told);      /* once a claim is answered notRun, only claims that replaced it are dispatched */
 		left = 0;
 		ran = x
 	}
 }
 
-/* A later attempt that replaced the given-up claim may have run before its caller hears notRun. */
+/*
+ * The caller of claim x is answered notRun. A later attempt that replaced the given-up claim may have run before this
+ * answer.
+ */
 inline sayNotRun(x) {
 	d_step {
 		ADD(toldNotRun, x);
@@ -141,12 +147,15 @@
 	byte id = r, holder = NONE, at, left;
 	byte previous = NONE; /* the claim that the holder replaced, for WRONG_REPLACED_RETURNS */
 
-	/* An attempt that finds the key expired ends as unknown, which is as if it had not begun. */
+	/* An attempt whose key has expired ends with the outcome unknown, which equals an attempt that never started. */
 	d_step {
 		(r < 2 || HAS(begun, 0)) && CHECKED_AGE -> /* attempts 0 and 2 run on one daemon and are interchangeable */
 		ADD(begun, r)
 	};
-	/* A refusal without an own claim is unknown, which is as if the attempt had not begun. */
+	/*
+	 * An attempt that is refused before it has a claim ends with the outcome unknown, which equals an attempt that
+	 * never started.
+	 */
 #ifdef WRONG_NOT_RUN_WITHOUT_CLAIM
 	if
 	:: atomic { !HAS(dead, r) -> sayNotRun(id); goto done }
@@ -157,9 +166,12 @@
 	atomic { !HAS(dead, r) -> state[id] = PENDING; ADD(asked, id) };
 #ifndef WRONG_GRANT_WITHOUT_READ
 	do
-	:: atomic { !HAS(dead, r) -> state[id] = GIVEN_UP; goto done } /* not settled in time: unknown */
+	:: atomic { !HAS(dead, r) -> state[id] = GIVEN_UP; goto done } /* time-out before the claim was settled: the outcome is unknown */
 	:: atomic { !HAS(dead, r) ->
-		/* An old table has read from the first record, a fresh one from the first retained one. */
+		/*
+		 * A table that has existed for long has read all records, a new one only the retained records; a table that
+		 * lags lacks the last record.
+		 */
 		if
 		:: readTable(0, tail)
 		:: first > 0 -> readTable(first, tail)
@@ -171,7 +183,10 @@
 		:: else -> state[id] = GIVEN_UP; break
 		fi }
 	od;
-	/* The claimant is asked; a claimant that has lost its memory makes the answer unknown. */
+	/*
+	 * The attempt queries the holder's claimant. The claim can be replaced only if the claimant has given it up; if the
+	 * claimant has lost its memory in a crash, the outcome is unknown.
+	 */
 	atomic { !HAS(dead, r) ->
 		if
 		:: id == r && r > 0 && state[holder] == GIVEN_UP -> skip
@@ -187,7 +202,10 @@
 	goto claim;
 granted:
 #endif
-	/* The records of an earlier attempt may have expired with the key, so the answer is unknown. */
+	/*
+	 * Second check of the key's age: if the key has expired, the records of an earlier attempt may have expired too, so
+	 * the outcome is unknown.
+	 */
 	atomic { !HAS(dead, r) ->
 		if
 		:: !SECOND_CHECK ->
@@ -200,7 +218,7 @@
 		fi
 	};
 	if
-	:: goto giveUp /* no endpoint, or the caller has left */
+	:: goto giveUp /* no endpoint is available, or the caller has disconnected */
 	:: d_step { !HAS(dead, r) && state[id] == PENDING -> state[id] = DISPATCHED }
 	fi;
 	if
@@ -225,7 +243,7 @@
 	false
 }
 
-/* The key expires, and only later do records, because retention exceeds the key lifetime. */
+/* The key expires before any record does, because the log's retention is longer than the lifetime of keys. */
 proctype Time() {
 #ifndef WRONG_RECORDS_EXPIRE_FIRST
 	keyExpired = true;
@@ -236,7 +254,7 @@
 	od
 }
 
-/* Daemon 0 restarts: it has forgotten its claims, and its earlier attempts do not go on. */
+/* Daemon 0 crashes and restarts: its attempts 0 and 2 end, and the states of its claims are lost. */
 proctype Crash() {
 	d_step {
 		begun & 5 ->
--- a/model/lease.pml
+++ b/model/lease.pml
@@ -1,9 +1,10 @@
 /*
- * Lease and fenced order (design section 5.8).
- * Two parties take the lease of one pool in turn and order one engine.
- * Renewals are left out, since no order depends on them.
- * Without CHECKS the engine ignores the token and time is bounded ticks;
- * with CHECKS the engine refuses old tokens and any step may be late.
+ * Lease and fenced orders (design section 5.8).
+ * Two parties acquire the lease of one pool alternately and send orders to one engine.
+ * Renewals are not modelled, because no order depends on them.
+ * Without CHECKS, the engine ignores the fencing token, and safety depends on time: a bounded clock, with a bounded
+ * delay from the check to the order's effect.
+ * With CHECKS, the engine refuses orders with old fencing tokens, and each step may be delayed without bound.
  */
 
 #define PARTIES 2
@@ -15,7 +16,7 @@
 #else
 #define MARGIN 1
 #endif
-/* Longest time from the check to the order's effect; two margins cover it. */
+/* Longest time from the lease check to the order's effect; the margins of two parties together cover it. */
 #define DELAY 2
 #define MAXTIME 8
 
@@ -31,20 +32,20 @@
 #endif
 #endif
 
-/* The tenure began with the first record of the stream. */
+/* Party p has held the lease since the first record of the stream, so no earlier holder can have orders in flight. */
 #define FROMFIRST (owner[1] == p && (seen < 3 || owner[2] == p))
 
 #define ONTIME(p) (!flying[p] || now < checkedAt[p] + DELAY)
 
 byte now;
-byte last;               /* token of the accepted lease record; 0 is none */
+byte last;               /* token of the last accepted lease record; 0 if there is none */
 byte owner[MAXLOG + 1];  /* party that holds each token */
 byte highest;            /* highest token whose order took effect */
-bool flying[PARTIES];    /* an order is between its check and its effect */
+bool flying[PARTIES];    /* the party has an order in flight: after the check, before the effect */
 byte checkedAt[PARTIES];
 
 inline effect(t) {
-	assert(t >= highest); /* no order of a lapsed holder after one of its successor */
+	assert(t >= highest); /* no order of an earlier holder takes effect after an order of its successor */
 	highest = t
 }
 
@@ -52,7 +53,7 @@
 	byte seen, token, readStart, ownSince, start, order;
 	bool reading = false, first = false;
 	do
-	/* A complete read: the answer may show the stream as it was when the read started. */
+	/* A complete read of the stream; the response may show the stream as it was when the read started. */
 	:: atomic { !reading && !flying[p] -> reading = true; start = now; seen = last }
 	:: atomic { reading ->
 		reading = false;
@@ -65,7 +66,7 @@
 		if
 		:: seen != 0 && owner[seen] == p && token != seen ->
 			if
-			:: token != 0 /* a refresh of the own lease keeps the start of the tenure */
+			:: token != 0 /* the party has refreshed its own lease, so ownSince does not change */
 			:: else ->
 				first = FROMFIRST;
 				ownSince = (first -> 0 : now)
@@ -75,14 +76,17 @@
 		:: else -> token = 0; ownSince = 0; readStart = 0; first = false
 		fi }
 
-	/* A takeover or a first lease; the answer may be lost, since only reading tells the outcome. */
+	/*
+	 * A first lease or a takeover. The party learns the outcome only by reading the stream, as the append's response
+	 * may be lost.
+	 */
 	:: atomic { !reading && token == 0 && last < MAXLOG ->
 		if
 		:: seen == last -> last++; owner[last] = p
-		:: else /* another record based on the same offset came first */
+		:: else /* not accepted: another record with the same base offset was appended first */
 		fi }
 
-	/* The holder repeats its record, so that it does not expire; it takes the lease back from nobody. */
+	/* The holder appends its record again before it expires from the log; this must not revoke a successor's lease. */
 	:: atomic { !reading && token != 0 && last < MAXLOG ->
 		if
 #ifdef WRONG_REFRESH_UNBASED
@@ -93,7 +97,7 @@
 		:: else
 		fi }
 
-	/* The check right before an order. */
+	/* The lease check immediately before an order is sent. */
 	:: atomic { !reading && token != 0 && !flying[p] && VALID && WAITED ->
 		flying[p] = true; checkedAt[p] = now; order = token }
 
@@ -103,7 +107,7 @@
 #if defined(CHECKS) && !defined(WRONG_IGNORE_TOKEN)
 		if
 		:: order >= highest -> effect(order)
-		:: else /* refused as stale */
+		:: else /* the engine refuses the order because of its stale token */
 		fi;
 #else
 		effect(order);
@@ -112,7 +116,7 @@
 	od
 }
 
-/* A tick waits for orders in flight to take effect within DELAY, unless a pause may follow the check. */
+/* The clock does not tick past the DELAY of an order in flight, except with CHECKS or WRONG_PAUSE_AFTER_CHECK. */
 proctype Clock() {
 end:
 	do
--- a/model/publish.pml
+++ b/model/publish.pml
@@ -1,7 +1,7 @@
 /*
  * Publish and apply (design section 5.1).
- * Nodes apply one log in offset order. An oracle judges each record at its append,
- * so what a node installs can be compared with what every node should install.
+ * Nodes apply the records of one log in offset order. An oracle (truthVersion, truthContent, truthSeen) evaluates each
+ * publish record when it is appended; what a node installs is compared with the oracle.
  */
 
 #define NODES 2
@@ -16,7 +16,7 @@
 	byte kind;
 	byte id;      /* publish: publishId */
 	byte base;    /* publish: basedOn */
-	byte version; /* snapshot: version, its content, publish ids judged, read position of the writer */
+	byte version; /* snapshot, here to next: version, its content, evaluated publish ids, writer's read position */
 	byte content;
 	byte seen;
 	byte next
@@ -24,10 +24,10 @@
 
 typedef View {
 	byte version;
-	byte content; /* id of the publish that made the version */
-	byte seen;    /* set of publish ids that have been judged */
+	byte content; /* id of the publish that created the version */
+	byte seen;    /* set of publish ids that have been evaluated */
 	byte next;    /* offset to read next */
-	bool sure     /* every record before next has been judged */
+	bool sure     /* all records before next have been evaluated, so the view can evaluate further ones */
 }
 
 Record rec[MAXLOG];
@@ -53,8 +53,8 @@
 }
 
 inline install(who, newVersion, newContent) {
-	assert(newVersion > node[who].version);        /* versions never go back */
-	assert(truthContent[newVersion] == newContent);        /* versions agree */
+	assert(newVersion > node[who].version);        /* the version in force never decreases */
+	assert(truthContent[newVersion] == newContent);        /* all nodes install the same content for a version */
 	node[who].version = newVersion;
 	node[who].content = newContent
 }
@@ -78,7 +78,7 @@
 	node[who].seen = node[who].seen | (1 << rec[o].id)
 }
 
-/* Takes over a state that was judged up to a position, and reads on from there. */
+/* Adopts a state in which all records before newNext have been evaluated, and continues to read at newNext. */
 inline adopt(who, newVersion, newContent, newSeen, newNext) {
 	if
 	:: newVersion > node[who].version -> install(who, newVersion, newContent)
@@ -102,7 +102,10 @@
 	   (rec[o].version > node[who].version || (!node[who].sure && rec[o].version == node[who].version)) ->
 		adopt(who, rec[o].version, rec[o].content, rec[o].seen, rec[o].next)
 	:: rec[o].next < first && rec[o].version > node[who].version ->
-		/* The version is accepted, but records after it are gone: put it in force and judge nothing. */
+		/*
+		 * The version was accepted, but records that follow it have expired: install it, but don't evaluate further
+		 * publish records, as expired ones may have changed the version.
+		 */
 		install(who, rec[o].version, rec[o].content);
 		node[who].seen = rec[o].seen;
 		node[who].sure = false
@@ -111,7 +114,10 @@
 	fi
 }
 
-/* A retained snapshot whose following records are retained must have made the node current. */
+/*
+ * A node that has read the whole log has the current version if it is sure. If it is not sure, there must be no retained
+ * snapshot of its version or a later one whose following records are all retained, as that would have made it sure.
+ */
 inline checkCaughtUp(who) {
 	byte o;
 	if
@@ -162,7 +168,7 @@
 	do
 	:: node[who].next < tail -> readOne(who)
 
-	/* A slow node captures a snapshot now and appends it later. */
+	/* A slow node captures a snapshot in one step and appends it in a later step. */
 	:: atomic { !writing && snapshots < SNAPSHOTS && node[who].sure && node[who].version > 0 ->
 		snapshots++;
 		writing = true;
@@ -182,7 +188,7 @@
 			pending.version = 0; pending.content = 0; pending.seen = 0; pending.next = 0
 		} }
 
-	/* Relay by a peer. */
+	/* A peer with a newer version sends its state. */
 #ifdef WRONG_OLDER_PEER
 	:: d_step { node[1 - who].version != node[who].version && node[1 - who].version > 0 ->
 #else
@@ -219,7 +225,7 @@
 	byte o;
 	base = node[id % NODES].version;
 	atomic { tail < MAXLOG -> d_step { appendPublish(id, base) } }
-	/* The answer may be lost; a careless client appends again with a newer base. */
+	/* The response may be lost; a careless client repeats the append with the same id and a newer base. */
 	if
 	:: id == 0 ->
 		base = node[0].version;
