--- a/dispatch/desk.go
+++ b/dispatch/balancer.go
@@ -132,7 +132,7 @@
 }
 
 // Desk tracks the load and the failures of each endpoint and chooses endpoints by them.
-type Desk struct {
+type Balancer struct {
 	// FailureDomain is the failure domain of the daemon.
 	FailureDomain string
 
@@ -161,13 +161,13 @@
 }
 
 // NewDesk returns a desk without any recorded load or failure.
-func NewDesk() *Desk {
-	return &Desk{endpoints: map[string]*endpoint{}}
+func NewBalancer() *Balancer {
+	return &Balancer{endpoints: map[string]*endpoint{}}
 }
 
 // Choose scores the endpoints that accept new requests of the service and returns the best one that is not full.
 // The preference for some endpoints applies to engines only.
-func (dsk *Desk) Choose(now time.Time, rnd *rand.Rand, cat *catalog.Catalog, flt catalog.FleetView, req *Request) Choice {
+func (dsk *Balancer) Choose(now time.Time, rnd *rand.Rand, cat *catalog.Catalog, flt catalog.FleetView, req *Request) Choice {
 	if req.Preferred != nil && cat.Services[req.Service].Engine != nil {
 		if choice := dsk.choose(now, rnd, cat, flt, req, true); choice.Considered > 0 {
 			return choice
@@ -178,7 +178,7 @@
 
 // choose chooses among all eligible endpoints, or among the preferred ones only.
 // It adds a small random amount to each score to break ties.
-func (dsk *Desk) choose(now time.Time, rnd *rand.Rand, cat *catalog.Catalog, flt catalog.FleetView, req *Request, preferred bool) Choice {
+func (dsk *Balancer) choose(now time.Time, rnd *rand.Rand, cat *catalog.Catalog, flt catalog.FleetView, req *Request, preferred bool) Choice {
 	choice := Choice{Reason: ReasonNoEndpoint, Score: math.Inf(1)}
 	engine := cat.Services[req.Service].Engine
 	for id, edp := range flt.Endpoints {
@@ -205,7 +205,7 @@
 }
 
 // eligible reports whether an endpoint may serve the request, whatever its load, and returns the endpoint's state.
-func (dsk *Desk) eligible(flt catalog.FleetView, edp *catalog.Endpoint, req *Request) (*endpoint, bool) {
+func (dsk *Balancer) eligible(flt catalog.FleetView, edp *catalog.Endpoint, req *Request) (*endpoint, bool) {
 	if edp.Service != req.Service || edp.State != catalog.StateReady || req.Excluded[edp.ID] {
 		return nil, false
 	}
@@ -216,7 +216,7 @@
 }
 
 // rate returns the score of an endpoint, lower values being better, and whether the endpoint is full.
-func (dsk *Desk) rate(now time.Time, sta *endpoint, edp *catalog.Endpoint, engine *catalog.Engine, req *Request) (score float64, full bool) {
+func (dsk *Balancer) rate(now time.Time, sta *endpoint, edp *catalog.Endpoint, engine *catalog.Engine, req *Request) (score float64, full bool) {
 	use := sta.utilization(now, edp, engine, req)
 	score, full = use, use > req.limit()
 	if engine != nil {
@@ -275,7 +275,7 @@
 }
 
 // Begin counts a request that is about to be sent to an endpoint.
-func (dsk *Desk) Begin(id string, wrk Work) *Flight {
+func (dsk *Balancer) Begin(id string, wrk Work) *Flight {
 	sta := dsk.endpoint(id)
 	sta.own.Flights++
 	sta.own.Tokens += wrk.Tokens
@@ -284,13 +284,13 @@
 }
 
 // Started records the first event of a request: its prompt has been computed.
-func (dsk *Desk) Started(flt *Flight) {
+func (dsk *Balancer) Started(flt *Flight) {
 	dsk.endpoint(flt.Endpoint).own.Prefill -= flt.Work.Prefill
 	flt.Work.Prefill = 0
 }
 
 // End removes a request that has ended from the counts of its endpoint.
-func (dsk *Desk) End(flt *Flight) {
+func (dsk *Balancer) End(flt *Flight) {
 	sta := dsk.endpoint(flt.Endpoint)
 	sta.own.Flights--
 	sta.own.Tokens -= flt.Work.Tokens
@@ -298,13 +298,13 @@
 }
 
 // Reported records a load report of an endpoint.
-func (dsk *Desk) Reported(now time.Time, id string, running, waiting int) {
+func (dsk *Balancer) Reported(now time.Time, id string, running, waiting int) {
 	sta := dsk.endpoint(id)
 	sta.report = Report{Running: running, Waiting: waiting, At: now, ownFlights: sta.own.Flights}
 }
 
 // Succeeded counts an answer of an endpoint.
-func (dsk *Desk) Succeeded(now time.Time, id string) {
+func (dsk *Balancer) Succeeded(now time.Time, id string) {
 	sta := dsk.endpoint(id)
 	sta.decay(now)
 	sta.successes++
@@ -312,7 +312,7 @@
 
 // Failed counts a failure of an endpoint. If no connection to it could be opened (unreachable), it is tried last for the
 // next unreachablePause.
-func (dsk *Desk) Failed(now time.Time, id string, unreachable bool) {
+func (dsk *Balancer) Failed(now time.Time, id string, unreachable bool) {
 	sta := dsk.endpoint(id)
 	sta.decay(now)
 	sta.failures++
@@ -323,7 +323,7 @@
 
 // Peer records the usage that another daemon reports, by endpoint. Endpoints that are not in the report keep their
 // recorded usage; a zero usage removes it.
-func (dsk *Desk) Peer(now time.Time, name string, usage map[string]Usage) {
+func (dsk *Balancer) SetPeerUsage(now time.Time, name string, usage map[string]Usage) {
 	for id, usg := range usage {
 		sta := dsk.endpoint(id)
 		if usg == (Usage{}) {
@@ -338,7 +338,7 @@
 }
 
 // Work returns the usage of an endpoint by this daemon.
-func (dsk *Desk) Work(id string) Usage {
+func (dsk *Balancer) UsageAt(id string) Usage {
 	if sta, ok := dsk.endpoints[id]; ok {
 		return sta.own
 	}
@@ -346,7 +346,7 @@
 }
 
 // Own returns the usage by this daemon of each endpoint at which it has requests in flight.
-func (dsk *Desk) Own() map[string]Usage {
+func (dsk *Balancer) LocalUsage() map[string]Usage {
 	own := map[string]Usage{}
 	for id, sta := range dsk.endpoints {
 		if sta.own.Flights > 0 {
@@ -357,7 +357,7 @@
 }
 
 // Ages returns the ages of the oldest endpoint report and of the oldest peer usage that Choose still uses.
-func (dsk *Desk) Ages(now time.Time) (report, peer time.Duration) {
+func (dsk *Balancer) Ages(now time.Time) (report, peer time.Duration) {
 	for _, sta := range dsk.endpoints {
 		if age := now.Sub(sta.report.At); age < reportLifetime {
 			report = max(report, age)
@@ -373,7 +373,7 @@
 
 // Forget removes the state of endpoints that are not in the fleet and at which this daemon has no requests in flight.
 // It also removes expired usage of peers.
-func (dsk *Desk) Forget(now time.Time, flt catalog.FleetView) {
+func (dsk *Balancer) Forget(now time.Time, flt catalog.FleetView) {
 	for id, sta := range dsk.endpoints {
 		if _, listed := flt.Endpoints[id]; !listed && sta.own.Flights == 0 {
 			delete(dsk.endpoints, id)
@@ -387,7 +387,7 @@
 }
 
 // endpoint returns the state of an endpoint, and creates it if there is none.
-func (dsk *Desk) endpoint(id string) *endpoint {
+func (dsk *Balancer) endpoint(id string) *endpoint {
 	sta, ok := dsk.endpoints[id]
 	if !ok {
 		sta = &endpoint{}
--- a/dispatch/desk_test.go
+++ b/dispatch/balancer_test.go
@@ -40,9 +40,9 @@
 	Reason Reason
 }
 
-// TestChoose checks one decision under each load pattern of testdata/desk.yaml.
+// TestChoose checks one decision under each load pattern of testdata/balancer.yaml.
 func TestChoose(t *testing.T) {
-	data, err := os.ReadFile("testdata/desk.yaml")
+	data, err := os.ReadFile("testdata/balancer.yaml")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -81,7 +81,7 @@
 		{Name: "pool", Engine: &catalog.Engine{Slots: 8, CapacityTokens: capacity}}, {Name: "desk"},
 	}, nil)
 	vew := catalog.FleetView{Endpoints: map[string]catalog.Endpoint{}, Leaving: map[string]catalog.Mark{}}
-	dsk := NewDesk()
+	dsk := NewBalancer()
 	dsk.FailureDomain = "a"
 	for id, eng := range cse.Engines {
 		state := catalog.StateReady
@@ -108,12 +108,12 @@
 }
 
 // apply records the load and the failures of the case's engine in the desk.
-func (eng *deskEngine) apply(dsk *Desk, id string) {
+func (eng *deskEngine) apply(dsk *Balancer, id string) {
 	for _, wrk := range eng.Own {
 		dsk.Begin(id, wrk)
 	}
 	for name, usg := range eng.Peers {
-		dsk.Peer(testNow.Add(-eng.PeerAge), name, map[string]Usage{id: usg})
+		dsk.SetPeerUsage(testNow.Add(-eng.PeerAge), name, map[string]Usage{id: usg})
 	}
 	for range eng.Failures {
 		dsk.Failed(testNow, id, false)
@@ -131,12 +131,12 @@
 
 // Counts must return to zero when all requests have ended. Otherwise an engine looks busier after each request.
 func TestFlightsEnd(t *testing.T) {
-	dsk := NewDesk()
+	dsk := NewBalancer()
 	one, two := dsk.Begin("e", Work{Tokens: 30, Prefill: 20}), dsk.Begin("e", Work{Tokens: 5, Prefill: 5})
 	dsk.Started(one)
 	dsk.End(one)
 	dsk.End(two)
-	if got, want := len(dsk.Own()), 0; got != want {
+	if got, want := len(dsk.LocalUsage()), 0; got != want {
 		t.Errorf("got %d endpoints with work, want %d", got, want)
 	}
 	if got, want := dsk.endpoint("e").own, (Usage{}); got != want {
@@ -189,7 +189,7 @@
 	used := map[string]int{}
 	for engine := range 200 {
 		id := string(rune('A' + engine))
-		got, want := Users(id, members, 3), Users(id, other, 3)
+		got, want := AssignedMembers(id, members, 3), AssignedMembers(id, other, 3)
 		if len(got) != 3 {
 			t.Fatalf("got %d users, want 3", len(got))
 		}
--- a/dispatch/rendezvous.go
+++ b/dispatch/rendezvous.go
@@ -11,7 +11,7 @@
 // highest hashes, or all members if there are not more than count. Daemons with the same member list compute the same
 // users, so the users of an endpoint can report their load there to each other. If every daemon sent work to every
 // engine, load reports could not reach all of them in time to take recent sends into account.
-func Users(endpoint string, members []string, count int) []string {
+func AssignedMembers(endpoint string, members []string, count int) []string {
 	if len(members) <= count {
 		return members
 	}
--- a/gateway/control.go
+++ b/gateway/control.go
@@ -129,13 +129,13 @@
 }
 
 // Published is the input for a configuration that was read from the store or received from a peer.
-type Published struct {
+type ConfigurationUpdate struct {
 	Catalog *catalog.Catalog
 	Source  string
 }
 
 // Apply puts the configuration in force unless the one in force has the same or a later version.
-func (pub Published) Apply(_ time.Time, ctl *Control) {
+func (pub ConfigurationUpdate) Apply(_ time.Time, ctl *Control) {
 	if ctl.catalog != nil && pub.Catalog.Version <= ctl.catalog.Version {
 		return
 	}
@@ -146,7 +146,7 @@
 }
 
 // Registered is the input for entries of endpoints in the store.
-type Registered struct {
+type EndpointUpdate struct {
 	Endpoints []catalog.Endpoint
 	// Removed are the ids of the endpoints whose entries were removed.
 	Removed []string
@@ -155,7 +155,7 @@
 }
 
 // Apply updates the fleet with the entries.
-func (reg Registered) Apply(now time.Time, ctl *Control) {
+func (reg EndpointUpdate) Apply(now time.Time, ctl *Control) {
 	if reg.Whole {
 		ctl.fleet.Replace(now, reg.Endpoints)
 		return
--- a/gateway/daemon.go
+++ b/gateway/daemon.go
@@ -113,7 +113,7 @@
 	set := dmn.Settings
 	srv := dmn.Server
 	srv.Snapshots, srv.Logger = dmn.Control, dmn.Logger
-	srv.Desk.FailureDomain = set.FailureDomain
+	srv.Balancer.FailureDomain = set.FailureDomain
 	srv.Budget.SetLimits(set.Retries.Ratio, set.Retries.Extra, time.Duration(set.Retries.Window))
 	dmn.Exchange.Name, dmn.Exchange.Server, dmn.Exchange.Control, dmn.Exchange.Logger = set.Name, srv, dmn.Control, dmn.Logger
 	dmn.Control.Logger = dmn.Logger
@@ -130,7 +130,7 @@
 		srv.mutex.Lock()
 		defer srv.mutex.Unlock()
 		srv.Budget.Daemons = len(dmn.Exchange.Members())
-		srv.Desk.Forget(srv.Now(), snp.Fleet)
+		srv.Balancer.Forget(srv.Now(), snp.Fleet)
 	}
 }
 
--- a/gateway/exchange.go
+++ b/gateway/exchange.go
@@ -149,13 +149,13 @@
 func (exc *Exchange) usage() map[string]dispatch.Usage {
 	exc.Server.mutex.Lock()
 	defer exc.Server.mutex.Unlock()
-	return exc.Server.Desk.Own()
+	return exc.Server.Balancer.LocalUsage()
 }
 
 func (exc *Exchange) applyUsage(msg *message) {
 	exc.Server.mutex.Lock()
 	defer exc.Server.mutex.Unlock()
-	exc.Server.Desk.Peer(exc.Now(), msg.Name, msg.Usage)
+	exc.Server.Balancer.SetPeerUsage(exc.Now(), msg.Name, msg.Usage)
 }
 
 func (exc *Exchange) round(ctx context.Context, count int) {
--- a/gateway/fetch.go
+++ b/gateway/fetch.go
@@ -84,7 +84,7 @@
 		exc.Logger.WithError(err).WithField("peer", address).Warn("configuration from a peer is invalid; ignored")
 		return
 	}
-	exc.Control.Send(ctx, Published{Catalog: cat, Source: address})
+	exc.Control.Send(ctx, ConfigurationUpdate{Catalog: cat, Source: address})
 }
 
 func (exc *Exchange) parsePacked(packed []byte) (*catalog.Catalog, error) {
--- a/gateway/metrics.go
+++ b/gateway/metrics.go
@@ -97,7 +97,7 @@
 func (srv *Server) ages() (report, usage time.Duration) {
 	srv.mutex.Lock()
 	defer srv.mutex.Unlock()
-	return srv.Desk.Ages(srv.Now())
+	return srv.Balancer.Ages(srv.Now())
 }
 
 // repeatsLeft returns the retries left of the service with the fewest; before the first request, the fixed allowance.
--- a/gateway/move.go
+++ b/gateway/move.go
@@ -30,7 +30,7 @@
 )
 
 // Copied is an engine's response after it has copied a generation's memory.
-type Copied struct {
+type CopyResult struct {
 	// Handle identifies the copy.
 	Handle string
 	// Events is the number of events generated so far.
@@ -54,7 +54,7 @@
 // Engines is the client for the control API of model engines.
 type Engines interface {
 	// Copy copies the memory of a running generation to another engine. With last, it first stops the generation.
-	Copy(ctx context.Context, source, callID, target string, last bool) (Copied, error)
+	Copy(ctx context.Context, source, callID, target string, last bool) (CopyResult, error)
 	// Report asks an engine for its state.
 	Report(ctx context.Context, address string) (EngineReport, error)
 	// Drop frees a copy at both engines.
@@ -246,7 +246,7 @@
 }
 
 // dropCopy frees the copy of a generation whose caller disconnected.
-func (one *run) dropCopy(source *catalog.Endpoint, cpd Copied) {
+func (one *run) dropCopy(source *catalog.Endpoint, cpd CopyResult) {
 	ctx, cancel := context.WithTimeout(context.Background(), moveTimeout)
 	defer cancel()
 	if err := one.server.Engines.Drop(ctx, source.Address, cpd.Handle); err != nil {
@@ -257,7 +257,7 @@
 // copyRunning copies the memory while the generation runs, repeatedly, until a copy is short or copyTime has passed.
 // A short copy shows that little was added and that the links are free: the final copy, for which the generation
 // stops, would otherwise queue behind copies of other generations.
-func (one *run) copyRunning(ctx context.Context, source, target *catalog.Endpoint) (cpd Copied, rounds int, err error) {
+func (one *run) copyRunning(ctx context.Context, source, target *catalog.Endpoint) (cpd CopyResult, rounds int, err error) {
 	engine := one.server.Snapshots.Snapshot().Catalog.Services[one.service].Engine
 	one.mutex.Lock()
 	events := one.events
--- a/gateway/notices.go
+++ b/gateway/notices.go
@@ -92,7 +92,7 @@
 	answering := exc.Answering()
 	for id := range changed {
 		exc.Server.mutex.Lock()
-		msg := &message{Name: exc.Name, Usage: map[string]dispatch.Usage{id: exc.Server.Desk.Work(id)}}
+		msg := &message{Name: exc.Name, Usage: map[string]dispatch.Usage{id: exc.Server.Balancer.UsageAt(id)}}
 		exc.Server.mutex.Unlock()
 		var addresses []string
 		for _, name := range shr.users[id] {
--- a/gateway/prober.go
+++ b/gateway/prober.go
@@ -73,7 +73,7 @@
 	var endpoints []catalog.Endpoint
 	for id, edp := range snp.Fleet.Endpoints {
 		_, leaving := snp.Fleet.Leaving[id]
-		if !leaving && snp.Catalog.Services[edp.Service].Engine != nil && dispatch.Users(id, members, 1)[0] == name {
+		if !leaving && snp.Catalog.Services[edp.Service].Engine != nil && dispatch.AssignedMembers(id, members, 1)[0] == name {
 			endpoints = append(endpoints, edp)
 		}
 	}
--- a/gateway/server.go
+++ b/gateway/server.go
@@ -51,7 +51,7 @@
 	Snapshots SnapshotSource
 	Wire      Wire
 	Engines   Engines
-	Desk      *dispatch.Desk
+	Balancer  *dispatch.Balancer
 	Budget    *dispatch.Budget
 	// Suspects counts the endpoint crashes that each request caused.
 	Suspects *dispatch.Suspects
@@ -80,7 +80,7 @@
 
 // NewServer returns a server that uses the system clock.
 func NewServer() *Server {
-	return &Server{Now: time.Now, Desk: dispatch.NewDesk(), Budget: dispatch.NewBudget(), Suspects: dispatch.NewSuspects(), Metrics: NewMetrics(), streams: newStreams()}
+	return &Server{Now: time.Now, Balancer: dispatch.NewBalancer(), Budget: dispatch.NewBudget(), Suspects: dispatch.NewSuspects(), Metrics: NewMetrics(), streams: newStreams()}
 }
 
 // InFlight returns the number of requests in flight.
@@ -274,13 +274,13 @@
 	}
 	srv.mutex.Lock()
 	defer srv.mutex.Unlock()
-	return srv.Desk.Choose(now, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())), snp.Catalog, snp.Fleet, req)
+	return srv.Balancer.Choose(now, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())), snp.Catalog, snp.Fleet, req)
 }
 
 // outgoing builds the request that is sent to an endpoint.
 func (srv *Server) outgoing(rqs *request, fwd Forward) *Outgoing {
 	fwd.Organisation = rqs.organisation
-	fwd.Left = rqs.deadline.Sub(srv.Now())
+	fwd.TimeLeft = rqs.deadline.Sub(srv.Now())
 	return &Outgoing{
 		Method: rqs.http.Method, URL: rqs.http.URL, Host: rqs.http.Host,
 		Header: srv.Wire.RequestHeader(rqs.http.Header, fwd), Body: rqs.body,
@@ -297,7 +297,7 @@
 func (srv *Server) begin(id string, wrk dispatch.Work) *dispatch.Flight {
 	srv.mutex.Lock()
 	defer srv.mutex.Unlock()
-	flt := srv.Desk.Begin(id, wrk)
+	flt := srv.Balancer.Begin(id, wrk)
 	if wrk.Tokens > 0 && srv.OnWork != nil {
 		srv.OnWork(id)
 	}
@@ -307,13 +307,13 @@
 func (srv *Server) started(flt *dispatch.Flight) {
 	srv.mutex.Lock()
 	defer srv.mutex.Unlock()
-	srv.Desk.Started(flt)
+	srv.Balancer.Started(flt)
 }
 
 func (srv *Server) end(flt *dispatch.Flight) {
 	srv.mutex.Lock()
 	defer srv.mutex.Unlock()
-	srv.Desk.End(flt)
+	srv.Balancer.End(flt)
 	if flt.Work.Tokens > 0 && srv.OnWork != nil {
 		srv.OnWork(flt.Endpoint)
 	}
@@ -332,7 +332,7 @@
 	}
 	srv.mutex.Lock()
 	defer srv.mutex.Unlock()
-	srv.Desk.Failed(srv.Now(), id, !sendErr.Sent)
+	srv.Balancer.Failed(srv.Now(), id, !sendErr.Sent)
 }
 
 func (srv *Server) noteAnswer(id string, ans Answer, ok bool) {
@@ -340,11 +340,11 @@
 	defer srv.mutex.Unlock()
 	now := srv.Now()
 	if ans.Load != nil {
-		srv.Desk.Reported(now, id, ans.Load.Running, ans.Load.Waiting)
+		srv.Balancer.Reported(now, id, ans.Load.Running, ans.Load.Waiting)
 	}
 	if ok {
-		srv.Desk.Succeeded(now, id)
+		srv.Balancer.Succeeded(now, id)
 	} else {
-		srv.Desk.Failed(now, id, false)
+		srv.Balancer.Failed(now, id, false)
 	}
 }
--- a/gateway/sharing.go
+++ b/gateway/sharing.go
@@ -42,7 +42,7 @@
 		if snp.Catalog == nil || snp.Catalog.Services[edp.Service].Engine == nil {
 			continue
 		}
-		shr.users[id] = dispatch.Users(id, members, engineUsers)
+		shr.users[id] = dispatch.AssignedMembers(id, members, engineUsers)
 		if shr.own != nil && slices.Contains(shr.users[id], name) {
 			shr.own[id] = true
 		}
--- a/gateway/wire.go
+++ b/gateway/wire.go
@@ -37,7 +37,7 @@
 	// Endpoint is the id of the intended endpoint; an endpoint with another id refuses the request.
 	Endpoint string
 	// Left is the time left until the request's deadline.
-	Left time.Duration
+	TimeLeft time.Duration
 	// Priority is the request's rank in the engine's queue, where 0 is served first; a negative rank is not sent.
 	Priority int
 	// Backup is the address of the engine to which the generation's memory is copied as it grows.
