--- a/admission/controller.go
+++ b/admission/controller.go
@@ -64,7 +64,7 @@
 
 // Watch makes the controller raise the level when the tracker's load reports show preemptions. As the engines are shared,
 // preemptions are counted in proportion to this daemon's part of the generations on the engine.
-func (ctl *Controller) Watch() {
+func (ctl *Controller) ObservePreemptions() {
 	trk := ctl.Tracker
 	trk.OnPreempted = func(name string, count int64) {
 		sta := trk.Status(name)
@@ -208,7 +208,7 @@
 }
 
 // Answered counts the end of a call to a plain service and adapts the pool's window to the endpoint's load report.
-func (ctl *Controller) Answered(tkt *Ticket, name string) {
+func (ctl *Controller) ServiceCallEnded(tkt *Ticket, name string) {
 	lod := ctl.Tracker.Status(name).Load
 	ctl.window(tkt.Request.Pool).Finished(lod.Waiting > lod.Running)
 }
--- a/admission/controller_test.go
+++ b/admission/controller_test.go
@@ -27,7 +27,7 @@
 	}
 	trk := routing.NewTracker()
 	ctl := NewController(trk)
-	ctl.Watch()
+	ctl.ObservePreemptions()
 	return &controllerRig{ctl, trk, routing.View{Index: inventory.NewIndex(cfg), Statuses: trk}, rand.New(rand.NewPCG(1, 2))}
 }
 
--- a/blackboard/board.go
+++ b/blackboard/board.go
@@ -51,7 +51,7 @@
 	DrainingSince time.Time
 	Members       []membership.Member
 	// Transfer is the view of the configuration from which peers are answered and snapshots are appended to the log.
-	Transfer *configuration.View
+	ConfigurationView *configuration.View
 	// Behind is true while this daemon waits for a snapshot because configuration records expired before it read them.
 	Behind bool
 }
@@ -59,19 +59,19 @@
 // Snapshot returns an immutable copy of the board for the goroutines that serve requests.
 func (brd *Board) Snapshot(now time.Time) *Snapshot {
 	return &Snapshot{
-		At:            now,
-		Index:         brd.Index,
-		Version:       brd.InForce.Number,
-		VersionOffset: brd.InForce.Offset,
-		InForceSince:  brd.InForceSince,
-		Outcomes:      brd.Configuration.Outcomes,
-		LogReadAt:     brd.LogReadAt,
-		LogError:      brd.LogError,
-		VMs:           brd.VMs,
-		VMsReadAt:     brd.VMsReadAt,
-		DrainingSince: brd.DrainingSince,
-		Members:       brd.Members,
-		Transfer:      brd.Configuration.View(),
-		Behind:        brd.Configuration.Behind(),
+		At:                now,
+		Index:             brd.Index,
+		Version:           brd.InForce.Number,
+		VersionOffset:     brd.InForce.Offset,
+		InForceSince:      brd.InForceSince,
+		Outcomes:          brd.Configuration.Outcomes,
+		LogReadAt:         brd.LogReadAt,
+		LogError:          brd.LogError,
+		VMs:               brd.VMs,
+		VMsReadAt:         brd.VMsReadAt,
+		DrainingSince:     brd.DrainingSince,
+		Members:           brd.Members,
+		ConfigurationView: brd.Configuration.View(),
+		Behind:            brd.Configuration.Behind(),
 	}
 }
--- a/blackboard/input.go
+++ b/blackboard/input.go
@@ -13,7 +13,7 @@
 // LogBatch is the input with the records that a read of the configuration stream returned.
 type LogBatch struct {
 	// Asked is the offset from which the read began.
-	Asked  int64
+	From   int64
 	Batch  provider.Batch
 	Logger logrus.FieldLogger
 	// Next receives the offset to read from next. It must be buffered, so that the control goroutine does not block.
@@ -24,12 +24,12 @@
 func (bat LogBatch) Apply(now time.Time, brd *Board) {
 	brd.LogReadAt, brd.LogError = now, ""
 	behind := brd.Configuration.Behind()
-	_, errs := brd.Configuration.ApplyBatch(bat.Asked, bat.Batch)
+	_, errs := brd.Configuration.ApplyBatch(bat.From, bat.Batch)
 	for _, err := range errs {
 		bat.Logger.WithError(err).Warn("ignored an invalid configuration record")
 	}
 	if !behind && brd.Configuration.Behind() {
-		bat.Logger.WithFields(logrus.Fields{"asked": bat.Asked, "first": bat.Batch.First}).
+		bat.Logger.WithFields(logrus.Fields{"asked": bat.From, "first": bat.Batch.First}).
 			Warn("configuration records expired before they were read; waiting for a snapshot")
 	}
 	brd.install(now, bat.Logger)
--- a/catalog/fleet.go
+++ b/catalog/fleet.go
@@ -24,7 +24,7 @@
 	Slots         int
 	// BornAt is the time at which this incarnation started, in Unix milliseconds. It identifies the incarnation: after a
 	// restart under the same id it is greater.
-	BornAt int64
+	StartedAt int64
 	// WarmAt is the time from which the endpoint has its full speed; it is slow until then, after a start.
 	WarmAt time.Time
 }
@@ -37,9 +37,9 @@
 }
 
 // Mark records that one incarnation of an endpoint is leaving, and since when this daemon has known.
-type Mark struct {
-	At     time.Time
-	BornAt int64
+type LeavingMark struct {
+	At        time.Time
+	StartedAt int64
 }
 
 // outageGrace is the time that endpoints have to register again after an outage of the store. Until then the daemon does
@@ -51,7 +51,7 @@
 type Fleet struct {
 	Endpoints map[string]Endpoint
 	// Leaving holds, by endpoint id, the first mark of each endpoint that drains or whose entry was removed.
-	Leaving map[string]Mark
+	Leaving map[string]LeavingMark
 
 	// pendingRemovals holds, by endpoint id, the time at which an entry that was removed during an outage is dropped
 	// unless the endpoint has registered again.
@@ -62,26 +62,26 @@
 
 // NewFleet returns a fleet without endpoints.
 func NewFleet() *Fleet {
-	return &Fleet{Endpoints: map[string]Endpoint{}, Leaving: map[string]Mark{}, pendingRemovals: map[string]time.Time{}}
+	return &Fleet{Endpoints: map[string]Endpoint{}, Leaving: map[string]LeavingMark{}, pendingRemovals: map[string]time.Time{}}
 }
 
 // Outage records that the store could not be read. Removals of entries are delayed for outageGrace from then on.
-func (flt *Fleet) Outage(now time.Time) {
+func (flt *Fleet) RecordOutage(now time.Time) {
 	flt.graceUntil = now.Add(outageGrace)
 }
 
 // Put applies the newest entry of an endpoint; it ignores entries of earlier incarnations.
 func (flt *Fleet) Put(now time.Time, edp Endpoint) {
 	old, known := flt.Endpoints[edp.ID]
-	if known && edp.BornAt < old.BornAt {
+	if known && edp.StartedAt < old.StartedAt {
 		return
 	}
 	delete(flt.pendingRemovals, edp.ID)
 	flt.Endpoints[edp.ID] = edp
 	switch {
 	case edp.State == StateDraining:
-		flt.recordLeaving(now, edp.ID, edp.BornAt)
-	case !known || edp.BornAt > old.BornAt || old.State == StateDraining:
+		flt.recordLeaving(now, edp.ID, edp.StartedAt)
+	case !known || edp.StartedAt > old.StartedAt || old.State == StateDraining:
 		delete(flt.Leaving, edp.ID)
 	}
 }
@@ -119,7 +119,7 @@
 // MarkLeaving records a report by the endpoint or by a peer that an endpoint is leaving. It returns false and changes
 // nothing if the endpoint is marked already or the report is about an earlier incarnation under the same id.
 func (flt *Fleet) MarkLeaving(now time.Time, id string, bornAt int64) bool {
-	if _, known := flt.Leaving[id]; known || flt.Endpoints[id].BornAt > bornAt {
+	if _, known := flt.Leaving[id]; known || flt.Endpoints[id].StartedAt > bornAt {
 		return false
 	}
 	flt.recordLeaving(now, id, bornAt)
@@ -128,7 +128,7 @@
 
 // Settle drops the endpoints that did not register again in time after an outage. It also deletes expired marks of
 // endpoints without an entry.
-func (flt *Fleet) Settle(now time.Time) {
+func (flt *Fleet) Expire(now time.Time) {
 	for id, until := range flt.pendingRemovals {
 		if until.Before(flt.graceUntil) {
 			flt.pendingRemovals[id] = flt.graceUntil
@@ -149,14 +149,14 @@
 
 // recordLeaving marks an endpoint as leaving unless it has a mark for the same or a later incarnation.
 func (flt *Fleet) recordLeaving(now time.Time, id string, bornAt int64) {
-	if mrk, known := flt.Leaving[id]; !known || mrk.BornAt < bornAt {
-		flt.Leaving[id] = Mark{At: now, BornAt: bornAt}
+	if mrk, known := flt.Leaving[id]; !known || mrk.StartedAt < bornAt {
+		flt.Leaving[id] = LeavingMark{At: now, StartedAt: bornAt}
 	}
 }
 
 // drop removes the entry of an endpoint and marks the endpoint as leaving.
 func (flt *Fleet) drop(now time.Time, id string) {
-	bornAt := flt.Endpoints[id].BornAt
+	bornAt := flt.Endpoints[id].StartedAt
 	delete(flt.pendingRemovals, id)
 	delete(flt.Endpoints, id)
 	flt.recordLeaving(now, id, bornAt)
@@ -170,7 +170,7 @@
 // FleetView is an immutable copy of a fleet.
 type FleetView struct {
 	Endpoints map[string]Endpoint
-	Leaving   map[string]Mark
+	Leaving   map[string]LeavingMark
 }
 
 // HasNeighbour reports whether another endpoint of the same service and failure domain accepts new requests.
--- a/catalog/fleet_test.go
+++ b/catalog/fleet_test.go
@@ -60,20 +60,20 @@
 
 func (stp *fleetStep) apply(flt *Fleet) {
 	now := testNow.Add(stp.At)
-	flt.Settle(now)
+	flt.Expire(now)
 	state := StateReady
 	if stp.State != "" {
 		state = stp.State
 	}
 	switch {
 	case stp.Put != "":
-		flt.Put(now, Endpoint{ID: stp.Put, State: state, BornAt: stp.Born})
+		flt.Put(now, Endpoint{ID: stp.Put, State: state, StartedAt: stp.Born})
 	case stp.Remove != "":
 		flt.Remove(now, stp.Remove)
 	case stp.Mark != "":
 		flt.MarkLeaving(now, stp.Mark, stp.Born)
 	case stp.Outage:
-		flt.Outage(now)
+		flt.RecordOutage(now)
 	case stp.Replace != nil:
 		var all []Endpoint
 		for _, id := range stp.Replace {
--- a/daemon/admission.go
+++ b/daemon/admission.go
@@ -59,7 +59,7 @@
 	var stale []endpoint.Target
 	for _, edp := range idx.Configuration.Endpoints {
 		isEngine := idx.Configuration.Pools[edp.Pool].Kind == inventory.PoolKindEngine
-		if isEngine && time.Since(dmn.tracker.Status(edp.Name).HeardAt) >= staleLoadAge {
+		if isEngine && time.Since(dmn.tracker.Status(edp.Name).ReportedAt) >= staleLoadAge {
 			stale = append(stale, endpoint.Target{Name: edp.Name, Address: edp.Address})
 		}
 	}
--- a/daemon/feed.go
+++ b/daemon/feed.go
@@ -33,7 +33,7 @@
 			continue
 		}
 		pauses.Reset()
-		dmn.loop.Send(ctx, blackboard.LogBatch{Asked: asked, Batch: bat, Logger: dmn.Logger, Next: next})
+		dmn.loop.Send(ctx, blackboard.LogBatch{From: asked, Batch: bat, Logger: dmn.Logger, Next: next})
 		select {
 		case asked = <-next:
 		case <-ctx.Done():
--- a/daemon/membership.go
+++ b/daemon/membership.go
@@ -209,7 +209,7 @@
 	gsp.table.Receive(time.Now(), msg)
 	gsp.mutex.Unlock()
 	snp := gsp.daemon.loop.Snapshot()
-	if msg.Sender.Version > snp.Transfer.Current.Number || snp.Behind {
+	if msg.Sender.Version > snp.ConfigurationView.Current.Number || snp.Behind {
 		select {
 		case gsp.sources <- source{msg.Sender.Name, msg.Sender.Address, msg.Sender.Version}:
 		default:
--- a/daemon/relay.go
+++ b/daemon/relay.go
@@ -35,7 +35,7 @@
 	if err := json.Unmarshal(params, &req); err != nil {
 		return nil, trace.BadParameter("request is not valid: %v", err)
 	}
-	return dmn.loop.Snapshot().Transfer.Answer(req)
+	return dmn.loop.Snapshot().ConfigurationView.Answer(req)
 }
 
 // fetchFromPeers fetches configuration versions from peers that this daemon has not read from the log yet.
@@ -52,12 +52,12 @@
 func (dmn *Daemon) fetch(ctx context.Context, src source) {
 	sleep(ctx, fetchGrace)
 	snp := dmn.loop.Snapshot()
-	if src.version <= snp.Transfer.Current.Number && !snp.Behind {
+	if src.version <= snp.ConfigurationView.Current.Number && !snp.Behind {
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, fetchTimeout)
 	defer cancel()
-	req := configuration.FetchRequest{Version: snp.Transfer.Current.Number, ReadTo: snp.Transfer.ReadTo}
+	req := configuration.FetchRequest{Version: snp.ConfigurationView.Current.Number, ReadTo: snp.ConfigurationView.ReadTo}
 	var reply configuration.FetchReply
 	if err := dmn.peerClient.Call(ctx, src.address, configuration.MethodFetch, req, &reply); err != nil {
 		dmn.Logger.WithField("peer", src.name).WithError(err).Warn("configuration could not be fetched")
--- a/dispatch/balancer_test.go
+++ b/dispatch/balancer_test.go
@@ -80,7 +80,7 @@
 	cat := catalog.NewCatalog(1, nil, []catalog.Service{
 		{Name: "pool", Engine: &catalog.Engine{Slots: 8, CapacityTokens: capacity}}, {Name: "desk"},
 	}, nil)
-	vew := catalog.FleetView{Endpoints: map[string]catalog.Endpoint{}, Leaving: map[string]catalog.Mark{}}
+	vew := catalog.FleetView{Endpoints: map[string]catalog.Endpoint{}, Leaving: map[string]catalog.LeavingMark{}}
 	dsk := NewBalancer()
 	dsk.FailureDomain = "a"
 	for id, eng := range cse.Engines {
@@ -90,7 +90,7 @@
 		}
 		vew.Endpoints[id] = catalog.Endpoint{ID: id, Service: service, FailureDomain: eng.Domain, State: state, Slots: 8}
 		if eng.Leaves {
-			vew.Leaving[id] = catalog.Mark{At: testNow}
+			vew.Leaving[id] = catalog.LeavingMark{At: testNow}
 		}
 		eng.apply(dsk, id)
 	}
--- a/endpoint/client.go
+++ b/endpoint/client.go
@@ -40,7 +40,7 @@
 type Client struct {
 	HTTP *http.Client
 	// Silence is the time without any byte after which a stream is interrupted.
-	Silence time.Duration
+	SilenceTimeout time.Duration
 	// OnLoad, if set, receives each load report that a response carries in its header or stream.
 	OnLoad func(endpoint string, lod Load)
 }
@@ -53,7 +53,7 @@
 			MaxIdleConnsPerHost: 64,
 			IdleConnTimeout:     30 * time.Second,
 		}},
-		Silence: DefaultSilenceTimeout,
+		SilenceTimeout: DefaultSilenceTimeout,
 	}
 }
 
@@ -112,14 +112,14 @@
 
 func (clt *Client) open(ctx context.Context, tgt Target, method, path string, body []byte, generation string, from int) (*Stream, error) {
 	ctx, cancel := context.WithCancel(ctx)
-	watchdog := time.AfterFunc(clt.Silence, cancel)
+	watchdog := time.AfterFunc(clt.SilenceTimeout, cancel)
 	res, err := clt.do(ctx, unpooledClient, tgt, method, path, body) //nolint:bodyclose // The stream closes the body.
 	if err != nil {
 		watchdog.Stop()
 		cancel()
 		return nil, err
 	}
-	stm := newStream(res.Body, tgt, generation, from, clt.Silence, watchdog, cancel)
+	stm := newStream(res.Body, tgt, generation, from, clt.SilenceTimeout, watchdog, cancel)
 	stm.onLoad = clt.OnLoad
 	return stm, nil
 }
--- a/entry/admit.go
+++ b/entry/admit.go
@@ -64,7 +64,7 @@
 // answered records that the endpoint has finished the call and dispatches waiting calls.
 func (srv *Server) answered(tkt *admission.Ticket, name string) {
 	srv.services.mutex.Lock()
-	srv.services.controller.Answered(tkt, name)
+	srv.services.controller.ServiceCallEnded(tkt, name)
 	srv.services.mutex.Unlock()
 	srv.services.wake(srv.Now(), srv.view())
 }
--- a/entry/relay_test.go
+++ b/entry/relay_test.go
@@ -40,7 +40,7 @@
 	defer eng.Close()
 	srv := newRelayServer(eng.Listener.Addr().String(), tokens)
 	// With a short silence time-out a reconnect would deliver a token that the server held back, and hide the fault.
-	srv.Endpoints.Silence = time.Hour
+	srv.Endpoints.SilenceTimeout = time.Hour
 	web := httptest.NewServer(srv.Handler())
 	defer web.Close()
 	ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
--- a/entry/waiting.go
+++ b/entry/waiting.go
@@ -29,7 +29,7 @@
 // BuildAdmission sets up the waiting queues for engines and for plain services; the tracker must be set before.
 func (srv *Server) BuildAdmission() {
 	srv.engines = newWaitQueue(admission.NewController(srv.Tracker))
-	srv.engines.controller.Watch()
+	srv.engines.controller.ObservePreemptions()
 	srv.services = newWaitQueue(admission.NewController(srv.Tracker))
 }
 
--- a/gateway/control.go
+++ b/gateway/control.go
@@ -89,7 +89,7 @@
 			inp.Apply(ctl.Now(), ctl)
 			ctl.publish()
 		case <-ticker.C:
-			ctl.fleet.Settle(ctl.Now())
+			ctl.fleet.Expire(ctl.Now())
 			ctl.publish()
 			if ctl.OnTick != nil {
 				ctl.OnTick(ctl.Snapshot())
@@ -176,7 +176,7 @@
 // Apply records the outage of the store or its end.
 func (str StoreRead) Apply(now time.Time, ctl *Control) {
 	if str.Err != nil {
-		ctl.fleet.Outage(now)
+		ctl.fleet.RecordOutage(now)
 		if !ctl.storeLost {
 			ctl.Logger.WithError(str.Err).WithField("age", now.Sub(ctl.storeReadAt)).Warn("store lost")
 		}
@@ -184,7 +184,7 @@
 		return
 	}
 	if ctl.storeLost {
-		ctl.fleet.Outage(now)
+		ctl.fleet.RecordOutage(now)
 		ctl.Logger.WithField("outage", now.Sub(ctl.storeReadAt)).Info("store regained")
 	}
 	ctl.storeLost = false
--- a/gateway/exchange.go
+++ b/gateway/exchange.go
@@ -177,7 +177,7 @@
 	bornAt := map[string]int64{}
 	for id, mrk := range snp.Fleet.Leaving {
 		if exc.Now().Sub(mrk.At) < leavingGossipTime {
-			bornAt[id] = mrk.BornAt
+			bornAt[id] = mrk.StartedAt
 		}
 	}
 	return bornAt
--- a/gateway/prober.go
+++ b/gateway/prober.go
@@ -62,7 +62,7 @@
 		return
 	}
 	prb.Logger.WithFields(logrus.Fields{fieldEndpoint: edp.ID, "leavesIn": rpt.LeavesIn.String()}).Info("engine reports that it leaves")
-	bornAt := map[string]int64{edp.ID: edp.BornAt}
+	bornAt := map[string]int64{edp.ID: edp.StartedAt}
 	prb.Control.Send(ctx, Leaving{BornAt: bornAt, Source: "engine"})
 	prb.Exchange.ShareLeaving(bornAt)
 }
--- a/measure/node.go
+++ b/measure/node.go
@@ -29,7 +29,7 @@
 	nod := &node{sim: sim, number: number, policy: pol, index: idx, rnd: rnd, tracker: routing.NewTracker(), byTicket: map[*admission.Ticket]*request{}}
 	nod.services = admission.NewController(nod.tracker)
 	nod.engines = admission.NewController(nod.tracker)
-	nod.engines.Watch()
+	nod.engines.ObservePreemptions()
 	for _, ctl := range []*admission.Controller{nod.engines, nod.services} {
 		ctl.FixedLevel, ctl.Queue.Unfair = pol.fixedLevel, pol.unfair
 		if pol.noAgeing {
@@ -42,7 +42,7 @@
 func (nod *node) view() routing.View {
 	return routing.View{
 		Index: nod.index, Statuses: nod.tracker, FailureDomain: domainName(nod.number),
-		Sample: nod.policy.sample, MemoryMargin: nod.policy.memoryMargin, Without: nod.policy.without,
+		Sample: nod.policy.sample, MemoryMargin: nod.policy.memoryMargin, Disabled: nod.policy.without,
 	}
 }
 
@@ -162,7 +162,7 @@
 	nod.tracker.Finished(name)
 	nod.tracker.Report(nod.sim.clock(now), name, lod)
 	if tkt != nil {
-		nod.services.Answered(tkt, name)
+		nod.services.ServiceCallEnded(tkt, name)
 		nod.dispatch(now, nod.services)
 	}
 }
--- a/papayacroft/cmd_publish.go
+++ b/papayacroft/cmd_publish.go
@@ -140,7 +140,7 @@
 	if err == nil {
 		return appendResult{}
 	}
-	if provider.NotSent(err) {
+	if provider.NotProcessed(err) {
 		return appendResult{err: err, notSent: true}
 	}
 	if rec.Publish == nil {
--- a/provider/http.go
+++ b/provider/http.go
@@ -129,7 +129,7 @@
 
 // NotSent reports whether a call failed before the service could act on it: no connection could be opened, or the
 // service rejected the call because of its rate limit.
-func NotSent(err error) bool {
+func NotProcessed(err error) bool {
 	var opErr *net.OpError
 	return trace.IsLimitExceeded(err) || errors.As(err, &opErr) && opErr.Op == "dial"
 }
--- a/retry/budget.go
+++ b/retry/budget.go
@@ -15,7 +15,7 @@
 	// RequestShare is the number of retries that each request adds to an account.
 	RequestShare = 0.1
 	// PerSecond is the number of retries that are added to an account per second.
-	PerSecond = 1.0
+	RefillPerSecond = 1.0
 	// Burst is the largest number of retries that an account can hold.
 	Burst = 10.0
 
@@ -41,7 +41,7 @@
 // refill adds the retries for the time since the last call.
 func (acc *account) refill(now time.Time) {
 	if elapsed := now.Sub(acc.at); elapsed > 0 {
-		acc.tokens = min(Burst, acc.tokens+PerSecond*elapsed.Seconds())
+		acc.tokens = min(Burst, acc.tokens+RefillPerSecond*elapsed.Seconds())
 		acc.at = now
 	}
 }
--- a/routing/affinity.go
+++ b/routing/affinity.go
@@ -29,7 +29,7 @@
 // A request with a margin has none: an organisation that uses more than its share gets no prefix affinity.
 func (sel *selection) findHome(endpoints []inventory.Endpoint) int {
 	sel.home = nil
-	if sel.request.Model == "" || sel.request.PrefixDigest == "" || sel.request.Margin > 0 || sel.view.Without.Prefix {
+	if sel.request.Model == "" || sel.request.PrefixDigest == "" || sel.request.Margin > 0 || sel.view.Disabled.Prefix {
 		return -1
 	}
 	home := prefixHome(sel.request.PrefixDigest, endpoints, func(edp *inventory.Endpoint) bool {
--- a/routing/decide.go
+++ b/routing/decide.go
@@ -44,7 +44,7 @@
 	// MemoryMargin is the part of an engine's memory that is never reserved; 0 means capacityMargin.
 	MemoryMargin float64
 	// Without disables mechanisms, for measurements of their effect.
-	Without Mechanisms
+	Disabled Mechanisms
 }
 
 // Mechanisms selects mechanisms of the scoring of engines: the check of projected memory, the token interval, the
@@ -204,7 +204,7 @@
 	if !sta.FailedAt.IsZero() && now.Sub(sta.FailedAt) < failureBackoff {
 		return "failed at " + sta.FailedAt.Format(time.RFC3339)
 	}
-	if model != "" && sta.Load.Models != nil && now.Sub(sta.HeardAt) < modelListLifetime && !slices.Contains(sta.Load.Models, model) {
+	if model != "" && sta.Load.Models != nil && now.Sub(sta.ReportedAt) < modelListLifetime && !slices.Contains(sta.Load.Models, model) {
 		return "model is not loaded"
 	}
 	return ""
--- a/routing/score.go
+++ b/routing/score.go
@@ -77,7 +77,7 @@
 	if sel.request.Margin > 0 && sta.OwnStarting >= maxStarting {
 		return scr, fmt.Sprintf("full: %d prompts are being computed", sta.OwnStarting)
 	}
-	disabled := sel.view.Without
+	disabled := sel.view.Disabled
 	if sta.Load.CapacityTokens > 0 {
 		capacity := float64(sta.Load.CapacityTokens) * (1 - sel.view.memoryMargin())
 		scr.use = float64(sel.projectedPeak(sta)) / capacity
@@ -126,7 +126,7 @@
 func (sel *selection) projectedPeak(sta *EndpointStatus) int {
 	prf := GenerationProfile(sel.request.PromptTokens, sel.request.Reserve)
 	running, tokens := sta.OthersRunning, sta.OthersTokens
-	if sel.view.Without.Correction {
+	if sel.view.Disabled.Correction {
 		running, tokens = sta.Load.Running+sta.Load.Waiting, sta.Load.UsedTokens
 	} else {
 		prf.add(sta.Own, 1)
--- a/routing/tracker.go
+++ b/routing/tracker.go
@@ -23,8 +23,8 @@
 type EndpointStatus struct {
 	Load endpoint.Load `json:"load"`
 	// HeardAt is when the last load report was received, by this daemon's clock.
-	HeardAt  time.Time `json:"heardAt,omitzero"`
-	InFlight int       `json:"inFlight"`
+	ReportedAt time.Time `json:"heardAt,omitzero"`
+	InFlight   int       `json:"inFlight"`
 	// OthersTokens and OthersRunning are the memory and the number of generations in the report, less those of this
 	// daemon.
 	OthersTokens  int `json:"othersTokens"`
@@ -92,7 +92,7 @@
 		if !sta.Load.At.IsZero() {
 			preempted = max(0, lod.Preemptions-sta.Load.Preemptions)
 		}
-		sta.Load, sta.HeardAt = lod, now
+		sta.Load, sta.ReportedAt = lod, now
 		tokens, running := ent.ownAt(lod.At, now, sta.TokenInterval)
 		sta.OwnUnreported = ent.sentSince(lod.At)
 		// Requests that wait in the engine were mostly preempted and will need memory again: as much, on average, as a
--- a/test/load_test.go
+++ b/test/load_test.go
@@ -123,7 +123,7 @@
 	}
 	wgr.Wait()
 	elapsed, retries := time.Since(began), readMetric(ts, args[3], "papayacroft_retries_total")-before
-	budget := retry.Burst + retry.RequestShare*float64(count) + retry.PerSecond*elapsed.Seconds()
+	budget := retry.Burst + retry.RequestShare*float64(count) + retry.RefillPerSecond*elapsed.Seconds()
 	seen := retriesAt(ts, strings.Split(args[5], ","))
 	ts.Logf("%d requests in %s: %.0f retries by the daemon's count, %.0f at the engines; the budget is %.0f", count, elapsed.Round(time.Second), retries, seen, budget)
 	if retries < least || retries > budget || seen > retries {
