--- a/claim/acquirer.go
+++ b/claim/acquirer.go
@@ -20,7 +20,7 @@
 
 const (
 	// Timeout bounds the wait for a claim, since a request that is refused quickly is better than one that hangs.
-	Timeout = 300 * time.Millisecond
+	AcquireTimeout = 300 * time.Millisecond
 	// hedgeDelay is how long one writer may take before the next is asked as well; a loaded shard takes about 50 ms.
 	hedgeDelay = 100 * time.Millisecond
 	// handleTimeout is shorter than Timeout, so that a writer answers with an error before the calling daemon's deadline
@@ -73,7 +73,7 @@
 // this call has been given up and is never dispatched.
 func (acq *Acquirer) Acquire(ctx context.Context, key, body, replaces string) (held Claim, own bool, err error) {
 	id := acq.Ledger.Begin(time.Now())
-	clm := Claim{ID: id.String(), Key: key, Body: body, Claimant: acq.Claimant, Address: acq.Address, Replaces: replaces}
+	clm := Claim{ID: id.String(), KeyDigest: key, BodyDigest: body, Claimant: acq.Claimant, Address: acq.Address, Replaces: replaces}
 	held, err = acq.ask(ctx, clm)
 	if err != nil || held.ID != clm.ID {
 		acq.Ledger.GiveUp(time.Now(), id)
@@ -90,7 +90,7 @@
 // ask sends the claim to one writer after another until one returns the holder. It does not cancel the calls to the
 // others, because that would close connections that other calls use; copies of a claim on the log have no effect.
 func (acq *Acquirer) ask(ctx context.Context, clm Claim) (Claim, error) {
-	targets := acq.targets(shardOf(clm.Key))
+	targets := acq.targets(shardOf(clm.KeyDigest))
 	replies := make(chan reply, len(targets))
 	asked, failed := 0, 0
 	askNext := func() {
@@ -118,23 +118,23 @@
 		case <-hedge.C:
 			askNext()
 		case <-ctx.Done():
-			return Claim{}, trace.ConnectionProblem(ctx.Err(), "no writer settled the claim of key %s in time", clm.Key)
+			return Claim{}, trace.ConnectionProblem(ctx.Err(), "no writer settled the claim of key %s in time", clm.KeyDigest)
 		}
 	}
 }
 
 func (acq *Acquirer) askOne(ctx context.Context, target membership.Member, clm Claim) (Claim, error) {
-	ctx, cancel := context.WithTimeout(ctx, Timeout)
+	ctx, cancel := context.WithTimeout(ctx, AcquireTimeout)
 	defer cancel()
 	if target.Incarnation == acq.Claimant {
-		return acq.writers[shardOf(clm.Key)].submit(ctx, clm)
+		return acq.writers[shardOf(clm.KeyDigest)].submit(ctx, clm)
 	}
 	var held Claim
 	if err := acq.Peers.Call(ctx, target.Address, MethodAcquire, clm, &held); err != nil {
 		return Claim{}, trace.Wrap(err)
 	}
-	if err := held.Validate(); err != nil || held.Key != clm.Key {
-		return Claim{}, trace.BadParameter("peer %s answered with a claim of key %q", target.Address, held.Key)
+	if err := held.Validate(); err != nil || held.KeyDigest != clm.KeyDigest {
+		return Claim{}, trace.BadParameter("peer %s answered with a claim of key %q", target.Address, held.KeyDigest)
 	}
 	return held, nil
 }
@@ -161,7 +161,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, handleTimeout)
 	defer cancel()
-	return acq.writers[shardOf(clm.Key)].submit(ctx, clm)
+	return acq.writers[shardOf(clm.KeyDigest)].submit(ctx, clm)
 }
 
 // ResultRequest asks a daemon for the result of a claim, or hands outcomes over to it.
--- a/claim/claim.go
+++ b/claim/claim.go
@@ -30,9 +30,9 @@
 // Claim is a daemon incarnation's claim to send the request with a key. Key and Body are the digests that KeyDigest
 // and BodyDigest return.
 type Claim struct {
-	ID   string `json:"id"`
-	Key  string `json:"key"`
-	Body string `json:"body"`
+	ID         string `json:"id"`
+	KeyDigest  string `json:"key"`
+	BodyDigest string `json:"body"`
 	// Claimant is the daemon's incarnation and Address the address at which other daemons call it.
 	Claimant string `json:"claimant"`
 	Address  string `json:"address"`
@@ -72,10 +72,10 @@
 	if _, err := uuid.Parse(clm.ID); err != nil {
 		return trace.BadParameter("claim id %q is not a UUID", clm.ID)
 	}
-	if _, err := parseDigest[keyDigest](clm.Key); err != nil {
+	if _, err := parseDigest[keyDigest](clm.KeyDigest); err != nil {
 		return trace.Wrap(err)
 	}
-	if _, err := parseDigest[bodyDigest](clm.Body); err != nil {
+	if _, err := parseDigest[bodyDigest](clm.BodyDigest); err != nil {
 		return trace.Wrap(err)
 	}
 	if clm.Claimant == "" {
--- a/claim/history_test.go
+++ b/claim/history_test.go
@@ -160,7 +160,7 @@
 // run makes an attempt in the same way as package entry.
 func (his *history) run(acq *Acquirer, name string, atm attempt) {
 	replaces := ""
-	left := Timeout
+	left := AcquireTimeout
 	for left > 0 {
 		started := time.Now()
 		ctx, cancel := context.WithTimeout(context.Background(), left)
@@ -204,7 +204,7 @@
 		his.note(func() { his.notRun[name] = true })
 		return
 	}
-	his.note(func() { his.dispatched[held.Key] = append(his.dispatched[held.Key], name) })
+	his.note(func() { his.dispatched[held.KeyDigest] = append(his.dispatched[held.KeyDigest], name) })
 	time.Sleep(20 * time.Millisecond)
 	acq.Ledger.Finish(time.Now(), id, Result{State: StateAnswered, Status: 200})
 }
@@ -394,6 +394,6 @@
 		if took := time.Since(started); took < hedgeDelay || took > hedgeDelay+appendInterval {
 			t.Errorf("got a grant after %s; want one by the second writer, after %s", took, hedgeDelay)
 		}
-		time.Sleep(Timeout)
+		time.Sleep(AcquireTimeout)
 	})
 }
--- a/claim/load_test.go
+++ b/claim/load_test.go
@@ -31,7 +31,7 @@
 		var rec claim.Record
 		for range claimsPerRecord {
 			rec.Claims = append(rec.Claims, claim.Claim{
-				ID: uuid.NewString(), Key: voterKey(), Body: claim.BodyDigest("POST", "/ballots", nil), Claimant: "entry-1", Address: "127.0.0.1:1",
+				ID: uuid.NewString(), KeyDigest: voterKey(), BodyDigest: claim.BodyDigest("POST", "/ballots", nil), Claimant: "entry-1", Address: "127.0.0.1:1",
 			})
 		}
 		body, err := rec.Serialize()
@@ -56,14 +56,14 @@
 	for b.Loop() {
 		acq := claim.NewAcquirer(log, "entry-2", "127.0.0.1:2")
 		for refused := 0; ; refused++ {
-			ctx, cancel := context.WithTimeout(context.Background(), claim.Timeout)
+			ctx, cancel := context.WithTimeout(context.Background(), claim.AcquireTimeout)
 			_, own, err := acq.Acquire(ctx, voterKey(), claim.BodyDigest("POST", "/ballots", nil), "")
 			cancel()
 			if own && err == nil {
 				b.ReportMetric(float64(refused), "refused")
 				break
 			}
-			if time.Duration(refused)*claim.Timeout > time.Minute {
+			if time.Duration(refused)*claim.AcquireTimeout > time.Minute {
 				b.Fatalf("still refused after %d votes: %v", refused, err)
 			}
 		}
--- a/claim/table.go
+++ b/claim/table.go
@@ -68,11 +68,11 @@
 }
 
 func (tab *Table) claim(clm Claim, at time.Time) {
-	key, _ := parseDigest[keyDigest](clm.Key)
+	key, _ := parseDigest[keyDigest](clm.KeyDigest)
 	if held, ok := tab.holders[key]; ok && held.id.String() != clm.Replaces {
 		return
 	}
-	body, _ := parseDigest[bodyDigest](clm.Body)
+	body, _ := parseDigest[bodyDigest](clm.BodyDigest)
 	tab.holders[key] = heldClaim{
 		id: uuid.MustParse(clm.ID), body: body, at: at.Unix(),
 		claimant: tab.claimantIndex(claimant{clm.Claimant, clm.Address}),
@@ -101,7 +101,7 @@
 	}
 	cmt := tab.claimants[held.claimant]
 	return Claim{
-		ID: held.id.String(), Key: key, Body: hex.EncodeToString(held.body[:]),
+		ID: held.id.String(), KeyDigest: key, BodyDigest: hex.EncodeToString(held.body[:]),
 		Claimant: cmt.incarnation, Address: cmt.address,
 	}, true
 }
@@ -109,7 +109,7 @@
 // Resolve returns the holder of a claim's key, and true if the claim has thereby won or lost. It is undecided
 // while the key has no holder, or still has the holder that the claim replaces.
 func (tab *Table) Resolve(clm Claim) (Claim, bool) {
-	held, ok := tab.Holder(clm.Key)
+	held, ok := tab.Holder(clm.KeyDigest)
 	return held, ok && held.ID != clm.Replaces
 }
 
--- a/claim/table_test.go
+++ b/claim/table_test.go
@@ -26,7 +26,7 @@
 	var rec Record
 	for one := range strings.SplitSeq(text, "/") {
 		fields := strings.Fields(one)
-		clm := Claim{ID: testID(fields[0]), Key: testKey(fields[1]), Body: fmt.Sprintf("%016x", fields[2]), Claimant: "c"}
+		clm := Claim{ID: testID(fields[0]), KeyDigest: testKey(fields[1]), BodyDigest: fmt.Sprintf("%016x", fields[2]), Claimant: "c"}
 		if len(fields) == 4 {
 			clm.Replaces = testID(fields[3])
 		}
@@ -165,7 +165,7 @@
 		runtime.ReadMemStats(&before)
 		tab := NewTable()
 		for i := range claims {
-			tab.claim(Claim{ID: testID(fmt.Sprint(i)), Key: fmt.Sprintf("%032x", i), Body: "0000000000000000", Claimant: "c"}, testNow)
+			tab.claim(Claim{ID: testID(fmt.Sprint(i)), KeyDigest: fmt.Sprintf("%032x", i), BodyDigest: "0000000000000000", Claimant: "c"}, testNow)
 		}
 		runtime.GC()
 		runtime.ReadMemStats(&after)
--- a/claim/votes_test.go
+++ b/claim/votes_test.go
@@ -92,7 +92,7 @@
 	refused := 0
 	vote := func(number int) {
 		key := claim.KeyDigest(inventory.TeamRef{Organisation: "rimu", Team: "members"}, uuid.NewString())
-		ctx, cancel := context.WithTimeout(context.Background(), claim.Timeout)
+		ctx, cancel := context.WithTimeout(context.Background(), claim.AcquireTimeout)
 		defer cancel()
 		started := time.Now()
 		_, own, err := acquirers[number%len(acquirers)].Acquire(ctx, key, claim.BodyDigest("POST", "/ballots", nil), "")
--- a/configuration/rapid_test.go
+++ b/configuration/rapid_test.go
@@ -154,7 +154,7 @@
 // against a delay that starts anew on each step, with which no daemon would ever append one.
 func TestScheduleDelays(t *testing.T) {
 	now := time.Now()
-	sch := Schedule{Retention: time.Hour, Rand: rand.New(rand.NewPCG(1, 2))}
+	sch := SnapshotSchedule{Retention: time.Hour, Rand: rand.New(rand.NewPCG(1, 2))}
 	if sch.Step(now, true) {
 		t.Error("got an append at once; want a delay")
 	}
--- a/configuration/schedule.go
+++ b/configuration/schedule.go
@@ -11,7 +11,7 @@
 const maxSnapshotDelay = 30 * time.Second
 
 // Schedule decides when a daemon appends a snapshot that is due.
-type Schedule struct {
+type SnapshotSchedule struct {
 	Retention time.Duration
 	Rand      *rand.Rand
 
@@ -22,7 +22,7 @@
 // Step is called periodically with whether a snapshot is due, and reports whether to append one now.
 // It starts a random delay when a snapshot becomes due, and cancels it if the snapshot stops being due meanwhile,
 // because another daemon has appended one.
-func (sch *Schedule) Step(now time.Time, due bool) bool {
+func (sch *SnapshotSchedule) Step(now time.Time, due bool) bool {
 	switch {
 	case !due:
 		sch.appendAt = time.Time{}
--- a/daemon/leases.go
+++ b/daemon/leases.go
@@ -60,7 +60,7 @@
 // follow reads the lease stream, which holds the leases of all pools.
 func (lsr *leaser) follow(ctx context.Context) {
 	for ctx.Err() == nil {
-		if err := lsr.keeper.Follow(ctx, leaseWait); err != nil {
+		if err := lsr.keeper.ReadLeases(ctx, leaseWait); err != nil {
 			lsr.logger.WithError(err).Debug("leases could not be read")
 			sleep(ctx, leaseWait)
 			continue
@@ -109,7 +109,7 @@
 		names := lsr.watched(snp, enginePools(snp))
 		lsr.keeper.Watch(names)
 		for _, name := range names {
-			if err := lsr.keeper.FollowRenewals(ctx, name); err != nil {
+			if err := lsr.keeper.ReadRenewals(ctx, name); err != nil {
 				lsr.logger.WithField("pool", name).WithError(err).Debug("renewals could not be read")
 			}
 		}
@@ -131,7 +131,7 @@
 }
 
 func (lsr *leaser) maintainPool(ctx context.Context, snp *blackboard.Snapshot, pool string) {
-	if lsr.keeper.Due(pool, time.Duration(lsr.rank(snp, pool))*leaseGrace) {
+	if lsr.keeper.TakeDue(pool, time.Duration(lsr.rank(snp, pool))*leaseGrace) {
 		lsr.acquire(ctx, pool)
 	}
 	if lsr.keeper.RenewalDue(pool) {
@@ -152,7 +152,7 @@
 	if err := lsr.keeper.Take(ctx, pool); err != nil {
 		log.WithError(err).Info("placement lease record was not confirmed by the log")
 	}
-	if err := lsr.keeper.Follow(ctx, 0); err != nil {
+	if err := lsr.keeper.ReadLeases(ctx, 0); err != nil {
 		log.WithError(err).Debug("leases could not be read")
 	}
 }
--- a/daemon/limits.go
+++ b/daemon/limits.go
@@ -8,13 +8,13 @@
 	agt.Peers = dmn.peerClient
 	agt.View = func() limit.View {
 		snp := dmn.loop.Snapshot()
-		vew := limit.View{Members: snp.Members, VMs: len(snp.VMs), Over: dmn.gossip.over}
+		vew := limit.View{Members: snp.Members, VMs: len(snp.VMs), OverLimit: dmn.gossip.over}
 		if snp.Index != nil {
 			vew.Configuration = snp.Index.Configuration
 		}
 		return vew
 	}
-	agt.Announce = dmn.gossip.announceOver
+	agt.AnnounceOverLimit = dmn.gossip.announceOver
 	dmn.entry.Limits = agt.Limiter
 	dmn.peers.Handlers[limit.MethodShare] = agt.HandleShare
 	dmn.tasks = append(dmn.tasks, agt.Run)
--- a/daemon/membership.go
+++ b/daemon/membership.go
@@ -82,7 +82,7 @@
 	if gsp.table.Changed() {
 		brd.Members = gsp.table.Members(now)
 	}
-	brd.VersionFloor = gsp.table.Former()
+	brd.VersionFloor = gsp.table.FormerVersion()
 }
 
 // run exchanges with one peer at each interval, and with several at once when this daemon starts to drain.
@@ -127,21 +127,21 @@
 func (gsp *gossip) recordNotice(now time.Time, ntc membership.Notice) {
 	gsp.mutex.Lock()
 	defer gsp.mutex.Unlock()
-	gsp.table.Notice(now, ntc)
+	gsp.table.AddNotice(now, ntc)
 }
 
 // over reports whether gossip says that an organisation is near or over its limit, which its owner decides.
 func (gsp *gossip) over(organisation string) bool {
 	gsp.mutex.Lock()
 	defer gsp.mutex.Unlock()
-	return gsp.table.IsOver(time.Now(), organisation)
+	return gsp.table.IsOverLimit(time.Now(), organisation)
 }
 
 func (gsp *gossip) announceOver(now time.Time, over map[string]time.Time) {
 	gsp.mutex.Lock()
 	defer gsp.mutex.Unlock()
 	for organisation, until := range over {
-		gsp.table.Over(now, organisation, until.Sub(now))
+		gsp.table.MarkOverLimit(now, organisation, until.Sub(now))
 	}
 }
 
--- a/daemon/placement.go
+++ b/daemon/placement.go
@@ -35,7 +35,7 @@
 	keeper    *lease.Keeper
 	endpoints *endpoint.Client
 	store     placement.Store
-	asked     *placement.Asked
+	asked     *placement.RequestCounter
 	// polls is the number of polls that this step may still send, for all pools together.
 	polls int
 	pools map[string]*poolPlacer
@@ -63,7 +63,7 @@
 	lsr := newLeaser(dmn)
 	plc := &placer{
 		daemon: dmn, keeper: lsr.keeper,
-		endpoints: dmn.entry.Endpoints, pools: map[string]*poolPlacer{}, asked: placement.NewAsked(),
+		endpoints: dmn.entry.Endpoints, pools: map[string]*poolPlacer{}, asked: placement.NewRequestCounter(),
 	}
 	dmn.entry.OnModelAsked = plc.asked.Count
 	if url := dmn.Settings.Platform.WeightsURL; url != "" {
@@ -203,7 +203,7 @@
 	for _, name := range pol.Models {
 		mdl := snp.Index.Configuration.Models[name]
 		vew.Models = append(vew.Models, placement.Model{
-			Name: name, Adapter: mdl.Adapter, Version: mdl.Version, MinEngines: mdl.MinEngines, Demand: pps.demand.Of(name),
+			Name: name, Adapter: mdl.Adapter, Version: mdl.Version, MinEngines: mdl.MinEngines, Demand: pps.demand.Value(name),
 		})
 	}
 	return vew
--- a/daemon/relay.go
+++ b/daemon/relay.go
@@ -69,12 +69,12 @@
 // snapshotter appends a configuration snapshot to the log before the records that make up the configuration expire.
 type snapshotter struct {
 	daemon    *Daemon
-	schedule  configuration.Schedule
+	schedule  configuration.SnapshotSchedule
 	appending atomic.Bool
 }
 
 func newSnapshotter(dmn *Daemon) *snapshotter {
-	return &snapshotter{daemon: dmn, schedule: configuration.Schedule{
+	return &snapshotter{daemon: dmn, schedule: configuration.SnapshotSchedule{
 		Retention: time.Duration(dmn.Settings.Platform.LogRetention),
 		Rand:      rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
 	}}
--- a/entry/claimed.go
+++ b/entry/claimed.go
@@ -69,7 +69,7 @@
 
 func (srv *Server) claimAndSend(ctx context.Context, cal *call, cld *claimedCall) (*answer, *Refusal) {
 	replaces := ""
-	remaining := claim.Timeout
+	remaining := claim.AcquireTimeout
 	for range maxReplaced + 1 {
 		started := srv.Now()
 		claimCtx, cancel := context.WithTimeout(ctx, remaining)
@@ -90,7 +90,7 @@
 			cal.claimed = true
 			return srv.sendClaimed(ctx, cal, cld, uuid.MustParse(held.ID))
 		}
-		if held.Body != cld.content {
+		if held.BodyDigest != cld.content {
 			return nil, notRun(routing.CodeBadRequest, "the idempotency key was used for another request")
 		}
 		ans, ref, givenUp := srv.firstAnswer(ctx, held)
--- a/lease/keeper.go
+++ b/lease/keeper.go
@@ -59,7 +59,7 @@
 }
 
 // Follow reads the lease stream once, waiting up to the given time for a record.
-func (kep *Keeper) Follow(ctx context.Context, wait time.Duration) error {
+func (kep *Keeper) ReadLeases(ctx context.Context, wait time.Duration) error {
 	kep.mutex.Lock()
 	next := kep.table.Next
 	kep.mutex.Unlock()
@@ -95,7 +95,7 @@
 }
 
 // FollowRenewals reads the renewals of one pool once, if this daemon watches the pool.
-func (kep *Keeper) FollowRenewals(ctx context.Context, pool string) error {
+func (kep *Keeper) ReadRenewals(ctx context.Context, pool string) error {
 	kep.mutex.Lock()
 	wat, ok := kep.watches[pool]
 	if !ok {
@@ -166,7 +166,7 @@
 // Due reports whether this holder should refresh the pool's lease or take a vacant or expired one.
 // Daemons that are not first in the pool's ranking pass a grace period, so that they don't race for the lease.
 // Nothing is due while the last read of the lease stream is older than Duration.
-func (kep *Keeper) Due(pool string, grace time.Duration) bool {
+func (kep *Keeper) TakeDue(pool string, grace time.Duration) bool {
 	kep.mutex.Lock()
 	defer kep.mutex.Unlock()
 	now := kep.Now()
--- a/lease/keeper_test.go
+++ b/lease/keeper_test.go
@@ -49,11 +49,11 @@
 func follow(t *testing.T, keepers ...*Keeper) {
 	t.Helper()
 	for _, kep := range keepers {
-		if err := kep.Follow(t.Context(), 0); err != nil {
+		if err := kep.ReadLeases(t.Context(), 0); err != nil {
 			t.Fatal(err)
 		}
 		kep.Watch([]string{"llm"})
-		if err := kep.FollowRenewals(t.Context(), "llm"); err != nil {
+		if err := kep.ReadRenewals(t.Context(), "llm"); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -81,19 +81,19 @@
 		follow(t, one, two)
 		checkOrder(t, one, false, true)
 		checkOrder(t, two, true, false)
-		if two.Due("llm", 0) {
+		if two.TakeDue("llm", 0) {
 			t.Error("got a lease due while its holder lives; want none")
 		}
 		mlg.down = true
 		time.Sleep(Duration - Margin)
 		checkOrder(t, one, true, false)
 		time.Sleep(Margin)
-		if two.Due("llm", 0) {
+		if two.TakeDue("llm", 0) {
 			t.Error("got a lease due though the log cannot be read; want none")
 		}
 		mlg.down = false
 		follow(t, two)
-		if !two.Due("llm", 0) || two.Due("llm", 2*time.Second) {
+		if !two.TakeDue("llm", 0) || two.TakeDue("llm", 2*time.Second) {
 			t.Error("got no lease due at 10 s, or one due in the grace period; want it due only without a grace period")
 		}
 		_ = two.Take(t.Context(), "llm")
@@ -116,11 +116,11 @@
 	synctest.Test(t, func(t *testing.T) {
 		kep := NewKeeper(&memoryLog{}, "one", retention)
 		follow(t, kep)
-		if kep.Due("llm", 2*time.Second) {
+		if kep.TakeDue("llm", 2*time.Second) {
 			t.Error("got a vacant pool due at once; want a grace period for the daemon of the first rank")
 		}
 		time.Sleep(2 * time.Second)
-		if !kep.Due("llm", 2*time.Second) {
+		if !kep.TakeDue("llm", 2*time.Second) {
 			t.Error("got no lease due after the grace period; want one")
 		}
 	})
--- a/limit/agent.go
+++ b/limit/agent.go
@@ -30,7 +30,7 @@
 	// VMs is the number of daemons on the platform's list of VMs.
 	VMs int
 	// Over reports whether an organisation's owner has announced that it is near or over its limit.
-	Over func(organisation string) bool
+	OverLimit func(organisation string) bool
 }
 
 func (vew View) nodes() Nodes {
@@ -59,7 +59,7 @@
 	View        func() View
 	// Announce gossips the organisations that are over their limit to all daemons, each with the time until which
 	// it counts as such.
-	Announce func(now time.Time, over map[string]time.Time)
+	AnnounceOverLimit func(now time.Time, over map[string]time.Time)
 
 	// members identifies the live daemons at the last exchange.
 	members string
@@ -102,7 +102,7 @@
 	if vew.nodes().small() {
 		most = maxMessagesSmallDeployment
 	}
-	for _, name := range agt.Limiter.Candidates(now, vew.Over) {
+	for _, name := range agt.Limiter.Candidates(now, vew.OverLimit) {
 		own, ok := owner(vew, Organisation(name))
 		if !ok {
 			break
@@ -124,9 +124,9 @@
 	}
 	wgr.Wait()
 	now = clock()
-	agt.Limiter.Expire(now, vew.Over)
+	agt.Limiter.Expire(now, vew.OverLimit)
 	agt.Owner.Prune(now)
-	agt.Announce(now, agt.Owner.Over(now))
+	agt.AnnounceOverLimit(now, agt.Owner.Over(now))
 }
 
 func (agt *Agent) requestShares(ctx context.Context, clock func() time.Time, vew View, incarnation, address string, req ShareRequest) {
@@ -148,7 +148,7 @@
 	for _, organisation := range rep.Over {
 		over[organisation] = now.Add(OverLimitTime)
 	}
-	agt.Announce(now, over)
+	agt.AnnounceOverLimit(now, over)
 }
 
 // owner returns the daemon that grants an organisation's shares, chosen by rendezvous hashing.
--- a/limit/agent_test.go
+++ b/limit/agent_test.go
@@ -37,7 +37,7 @@
 func TestAgents(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		agts := &agents{all: map[string]*Agent{}}
-		vew := View{Configuration: testConfiguration(inventory.Limits{RequestsPerSecond: 40}), Over: func(string) bool { return false }}
+		vew := View{Configuration: testConfiguration(inventory.Limits{RequestsPerSecond: 40}), OverLimit: func(string) bool { return false }}
 		idx := inventory.NewIndex(vew.Configuration)
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
@@ -45,7 +45,7 @@
 			name := fmt.Sprint(i)
 			agt := NewAgent(name)
 			agt.Peers, agt.View = agts, func() View { return vew }
-			agt.Announce = func(time.Time, map[string]time.Time) {}
+			agt.AnnounceOverLimit = func(time.Time, map[string]time.Time) {}
 			agts.all[name] = agt
 			vew.Members = append(vew.Members, membership.Member{Incarnation: name, Address: name, State: membership.StateLive})
 		}
--- a/limit/scale_test.go
+++ b/limit/scale_test.go
@@ -120,13 +120,13 @@
 		agt := NewAgent(incarnation)
 		agt.Peers = nodeCaller{net, i}
 		agt.View = func() View {
-			return View{Configuration: cfg, Members: members, Over: func(organisation string) bool { return tab.IsOver(net.now, organisation) }}
+			return View{Configuration: cfg, Members: members, OverLimit: func(organisation string) bool { return tab.IsOverLimit(net.now, organisation) }}
 		}
-		agt.Announce = func(now time.Time, over map[string]time.Time) {
+		agt.AnnounceOverLimit = func(now time.Time, over map[string]time.Time) {
 			net.mutex.Lock()
 			defer net.mutex.Unlock()
 			for organisation, until := range over {
-				tab.Over(now, organisation, until.Sub(now))
+				tab.MarkOverLimit(now, organisation, until.Sub(now))
 			}
 		}
 		net.agents, net.tables = append(net.agents, agt), append(net.tables, tab)
@@ -186,11 +186,11 @@
 func (net *network) gossip(one, other int) {
 	net.tables[one].Tick(net.now)
 	msg := net.tables[one].Message(net.now, net.rnd, "", false)
-	if len(msg.Over) == 0 {
+	if len(msg.OverLimit) == 0 {
 		return
 	}
-	net.tables[other].Receive(net.now, membership.Message{Over: msg.Over})
-	data, _ := json.Marshal(msg.Over)
+	net.tables[other].Receive(net.now, membership.Message{OverLimit: msg.OverLimit})
+	data, _ := json.Marshal(msg.OverLimit)
 	for _, node := range []int{one, other} {
 		net.bytes[node].Add(int64(len(data) + len(`,"over":`)))
 	}
--- a/membership/events_test.go
+++ b/membership/events_test.go
@@ -162,7 +162,7 @@
 func TestFleetHearsInTime(t *testing.T) {
 	flt := settled(t)
 	flt.forwardNotices = true
-	flt.nodes[0].tab.Notice(flt.now, Notice{Endpoint: "engine-17", Since: flt.now})
+	flt.nodes[0].tab.AddNotice(flt.now, Notice{Endpoint: "engine-17", Since: flt.now})
 	times, missing := flt.spread(10*time.Second, flt.nodes, flt.nodes[:1], func(node, _ *fleetNode) bool { return len(node.tab.notices) > 0 })
 	checkWithin(t, "leaving endpoint", times, missing, 3*time.Second)
 
--- a/membership/exchange.go
+++ b/membership/exchange.go
@@ -51,7 +51,7 @@
 	// Leaving holds notices of leaving endpoints.
 	Leaving []Notice `json:"leaving,omitempty"`
 	// Over holds an organisation that is over its limit, and the seconds after which that information expires.
-	Over map[string]int `json:"over,omitempty"`
+	OverLimit map[string]int `json:"over,omitempty"`
 }
 
 // Notice says that an endpoint takes no new work.
--- a/membership/fleet_test.go
+++ b/membership/fleet_test.go
@@ -149,7 +149,7 @@
 	}
 	node.noticeForwarded = true
 	for _, tgt := range node.tab.Sample(flt.rnd, 8) {
-		flt.index[tgt.Name].tab.Notice(flt.now, notices[0])
+		flt.index[tgt.Name].tab.AddNotice(flt.now, notices[0])
 		flt.countBytes(node, flt.index[tgt.Name], size(notices[0])+2*rpcBytes)
 	}
 }
--- a/membership/message.go
+++ b/membership/message.go
@@ -33,7 +33,7 @@
 }
 
 // Notice stores the notice of a leaving endpoint and reports whether it is new.
-func (tab *Table) Notice(now time.Time, ntc Notice) bool {
+func (tab *Table) AddNotice(now time.Time, ntc Notice) bool {
 	if ntc.Endpoint == "" || size(ntc) > maxNoticeBytes {
 		return false
 	}
--- a/membership/over.go
+++ b/membership/over.go
@@ -23,7 +23,7 @@
 
 // Over marks an organisation as over its limit for some time. Messages carry durations instead of times, so that
 // clocks need not agree. A duration only decreases when daemons pass it on, so that an outdated mark expires.
-func (tab *Table) Over(now time.Time, organisation string, left time.Duration) {
+func (tab *Table) MarkOverLimit(now time.Time, organisation string, left time.Duration) {
 	until := now.Add(min(left, maxOverLimitTime))
 	rec, ok := tab.over[organisation]
 	switch {
@@ -36,7 +36,7 @@
 }
 
 // IsOver reports whether an organisation is marked as over its limit.
-func (tab *Table) IsOver(now time.Time, organisation string) bool {
+func (tab *Table) IsOverLimit(now time.Time, organisation string) bool {
 	rec, ok := tab.over[organisation]
 	return ok && now.Before(rec.until)
 }
@@ -54,5 +54,5 @@
 		return
 	}
 	tab.over[name].sends++
-	cps.Over = over
+	cps.OverLimit = over
 }
--- a/membership/table.go
+++ b/membership/table.go
@@ -122,7 +122,7 @@
 }
 
 // Former returns the greatest version of the configuration that another incarnation of this daemon had in force.
-func (tab *Table) Former() int64 {
+func (tab *Table) FormerVersion() int64 {
 	return tab.formerVersion
 }
 
@@ -156,10 +156,10 @@
 		tab.mergeChange(now, cha)
 	}
 	for _, ntc := range msg.Leaving {
-		tab.Notice(now, ntc)
+		tab.AddNotice(now, ntc)
 	}
-	for organisation, seconds := range msg.Over {
-		tab.Over(now, organisation, time.Duration(min(seconds, int(maxOverLimitTime/time.Second)))*time.Second)
+	for organisation, seconds := range msg.OverLimit {
+		tab.MarkOverLimit(now, organisation, time.Duration(min(seconds, int(maxOverLimitTime/time.Second)))*time.Second)
 	}
 }
 
--- a/membership/table_test.go
+++ b/membership/table_test.go
@@ -174,7 +174,7 @@
 			peer.Receive(now, fresh.Message(now, rnd, "entry-1", false))
 			fresh.Receive(now, peer.Message(now, rnd, "entry-2", true))
 		}
-		want(t, "former version", fresh.Former(), int64(9))
+		want(t, "former version", fresh.FormerVersion(), int64(9))
 		want(t, "incarnation", peer.Members(now)[1].Incarnation, "a")
 	})
 }
@@ -191,7 +191,7 @@
 		ent := tab.self
 		ent.Name = fmt.Sprintf("%s-%d", long, i)
 		tab.Receive(now, Message{Sender: ent})
-		tab.Notice(now, Notice{Endpoint: fmt.Sprintf("%s-%d", long, i), Since: now})
+		tab.AddNotice(now, Notice{Endpoint: fmt.Sprintf("%s-%d", long, i), Since: now})
 	}
 	for range 50 {
 		msg := tab.Message(now, rnd, "peer", true)
@@ -214,13 +214,13 @@
 		net.run(15)
 		count := func() (count int) {
 			for _, tab := range net.tables {
-				if tab.IsOver(time.Now(), "rimu") {
+				if tab.IsOverLimit(time.Now(), "rimu") {
 					count++
 				}
 			}
 			return count
 		}
-		net.tables["entry-0"].Over(time.Now(), "rimu", time.Hour)
+		net.tables["entry-0"].MarkOverLimit(time.Now(), "rimu", time.Hour)
 		net.run(15)
 		want(t, "tables with rimu over its limit", count(), 8)
 		net.run(int(maxOverLimitTime / time.Second))
--- a/placement/asked.go
+++ b/placement/asked.go
@@ -8,19 +8,19 @@
 
 // Asked counts the requests that this daemon received per model. Models without an engine have no load report, so
 // these counts are the only sign of demand for them.
-type Asked struct {
+type RequestCounter struct {
 	mutex  sync.Mutex
 	counts map[string]int
 }
 
 // NewAsked returns a counter without requests.
-func NewAsked() *Asked {
-	return &Asked{counts: map[string]int{}}
+func NewRequestCounter() *RequestCounter {
+	return &RequestCounter{counts: map[string]int{}}
 }
 
 // Count counts a request for a model, if the team is approved for at least one endpoint of the model's pools.
 // Requests of other teams must not cause an engine to be moved.
-func (ask *Asked) Count(idx *inventory.Index, team inventory.TeamRef, model string) {
+func (ask *RequestCounter) Count(idx *inventory.Index, team inventory.TeamRef, model string) {
 	for _, pool := range idx.ModelPools(model) {
 		for _, edp := range idx.PoolEndpoints(pool) {
 			if idx.Approved(team, edp) {
@@ -34,7 +34,7 @@
 }
 
 // Take returns the number of requests for a model since the last call, and resets it.
-func (ask *Asked) Take(model string) int {
+func (ask *RequestCounter) Take(model string) int {
 	ask.mutex.Lock()
 	defer ask.mutex.Unlock()
 	count := ask.counts[model]
--- a/placement/demand.go
+++ b/placement/demand.go
@@ -36,6 +36,6 @@
 }
 
 // Of returns the smoothed demand for a model.
-func (dem *Demand) Of(model string) float64 {
+func (dem *Demand) Value(model string) float64 {
 	return dem.values[model]
 }
--- a/placement/plan_test.go
+++ b/placement/plan_test.go
@@ -143,7 +143,7 @@
 	flt.demand.Observe(flt.now(), raw)
 	for _, name := range sorted(flt.cas.Models) {
 		mdl := flt.cas.Models[name]
-		vew.Models = append(vew.Models, Model{Name: name, Version: mdl.Version, MinEngines: mdl.MinEngines, Demand: flt.demand.Of(name)})
+		vew.Models = append(vew.Models, Model{Name: name, Version: mdl.Version, MinEngines: mdl.MinEngines, Demand: flt.demand.Value(name)})
 	}
 	return vew
 }
