--- a/daemon/admin.go
+++ b/daemon/admin.go
@@ -30,17 +30,17 @@
 	DrainingSince time.Time `json:"drainingSince,omitzero"`
 	// Behind is true while the daemon waits for a configuration snapshot because records of the configuration stream
 	// expired before it read them.
-	Behind bool `json:"behind,omitempty"`
-	VMs    int  `json:"vms"`
+	AwaitsSnapshot bool `json:"behind,omitempty"`
+	VMs            int  `json:"vms"`
 	// VMsReadAt is the time of the last successful read of the platform's VM list; zero before the first one.
 	VMsReadAt time.Time `json:"vmsReadAt,omitzero"`
 	// Members holds every daemon in the membership table, which gossip maintains.
 	Members []membership.Member `json:"members"`
 	// Unmet holds the names of live VMs in the platform's list that are no endpoints and whose daemon is gone or missing
 	// from the membership table.
-	Unmet    []string                `json:"unmet,omitempty"`
-	Gossip   GossipTraffic           `json:"gossip"`
-	Outcomes []configuration.Outcome `json:"outcomes"`
+	VMsWithoutDaemon []string                `json:"unmet,omitempty"`
+	Gossip           GossipTraffic           `json:"gossip"`
+	Outcomes         []configuration.Outcome `json:"outcomes"`
 }
 
 // GossipTraffic counts gossip exchanges that this daemon began, and all bytes sent to and received from other daemons.
@@ -91,7 +91,7 @@
 		Version:       snp.Version, Offset: snp.VersionOffset, InForceSince: snp.InForceSince,
 		LogReadAt: snp.LogReadAt, LogError: snp.LogError,
 		DrainingSince: snp.DrainingSince, VMs: len(snp.VMs), VMsReadAt: snp.VMsReadAt, Outcomes: snp.Outcomes,
-		Behind: snp.Behind, Members: snp.Members, Unmet: unmet(snp), Gossip: dmn.gossipTraffic(),
+		AwaitsSnapshot: snp.Behind, Members: snp.Members, VMsWithoutDaemon: unmet(snp), Gossip: dmn.gossipTraffic(),
 	})
 }
 
--- a/daemon/admission.go
+++ b/daemon/admission.go
@@ -26,7 +26,7 @@
 	report := dmn.entry.Endpoints.OnLoad
 	dmn.entry.Endpoints.OnLoad = func(name string, lod endpoint.Load) {
 		report(name, lod)
-		dmn.entry.Wake()
+		dmn.entry.DispatchWaiting()
 	}
 	dmn.tasks = append(dmn.tasks, dmn.pollLoads)
 }
@@ -46,7 +46,7 @@
 			}
 			// An engine whose calls failed becomes available again after some time without any load report, so that
 			// load reports alone would not wake the requests.
-			dmn.entry.Wake()
+			dmn.entry.DispatchWaiting()
 		}
 	}
 }
--- a/daemon/drain.go
+++ b/daemon/drain.go
@@ -52,7 +52,7 @@
 	// ready any more. One more poll interval lets the last accepted request enter the count of requests in flight.
 	sleep(ctx, min(entry.DrainGrace+drainPollInterval, notice-endMargin(notice)))
 	dmn.awaitIdle(ctx, began.Add(notice-endMargin(notice)/2))
-	dmn.entry.EndCalls()
+	dmn.entry.AbortCalls()
 	dmn.awaitIdle(ctx, began.Add(notice-endMargin(notice)/4))
 	dmn.Logger.WithField("outcomes", dmn.entry.Claims.HandOver(ctx)).Info("outcomes of claims handed over")
 	if err := callers.Shutdown(ctx); err != nil {
--- a/daemon/placement.go
+++ b/daemon/placement.go
@@ -65,7 +65,7 @@
 		daemon: dmn, keeper: lsr.keeper,
 		endpoints: dmn.entry.Endpoints, pools: map[string]*poolPlacer{}, asked: placement.NewRequestCounter(),
 	}
-	dmn.entry.OnModelAsked = plc.asked.Count
+	dmn.entry.OnModelRequested = plc.asked.Count
 	if url := dmn.Settings.Platform.WeightsURL; url != "" {
 		plc.store = provider.NewHTTPWeightStore(url)
 	}
--- a/entry/completion.go
+++ b/entry/completion.go
@@ -106,8 +106,8 @@
 		return notRun(routing.CodeBadRequest, "request body could not be read in time: %v", err)
 	}
 	cal.class = body.Class
-	if srv.OnModelAsked != nil {
-		srv.OnModelAsked(cal.snapshot.Index, cal.team, body.Model)
+	if srv.OnModelRequested != nil {
+		srv.OnModelRequested(cal.snapshot.Index, cal.team, body.Model)
 	}
 	gen := newGeneration(srv.Now(), cal, body)
 	if ref := srv.checkQuarantine(gen); ref != nil {
--- a/entry/lifecycle.go
+++ b/entry/lifecycle.go
@@ -42,7 +42,7 @@
 }
 
 // EndCalls aborts the calls that may not be repeated and have no answer yet; their callers get the outcome unknown.
-func (srv *Server) EndCalls() {
+func (srv *Server) AbortCalls() {
 	srv.calls.end()
 }
 
--- a/entry/server.go
+++ b/entry/server.go
@@ -55,7 +55,7 @@
 	Metrics    *metrics.Metrics
 	Now        func() time.Time
 	// OnModelAsked, if set, is called for each request for a generation.
-	OnModelAsked func(idx *inventory.Index, team inventory.TeamRef, model string)
+	OnModelRequested func(idx *inventory.Index, team inventory.TeamRef, model string)
 
 	engines   *waitQueue
 	services  *waitQueue
--- a/entry/waiting.go
+++ b/entry/waiting.go
@@ -42,7 +42,7 @@
 
 // Wake dispatches the waiting requests that endpoints now have room for. It is called for each load report, and at
 // intervals because endpoint failures expire without a report.
-func (srv *Server) Wake() {
+func (srv *Server) DispatchWaiting() {
 	srv.engines.wake(srv.Now(), srv.view())
 	srv.services.wake(srv.Now(), srv.view())
 }
--- a/entry/waiting_test.go
+++ b/entry/waiting_test.go
@@ -34,7 +34,7 @@
 
 func (srv *Server) reportUse(used int) {
 	srv.Tracker.Report(srv.Now(), "a", endpoint.Load{At: srv.Now(), UsedTokens: used, CapacityTokens: 1000, Running: used / 100})
-	srv.Wake()
+	srv.DispatchWaiting()
 }
 
 func newWriteUp(cal *call) *generation {
@@ -91,7 +91,7 @@
 		}()
 		// A request that has waited may use the whole capacity, but the first request still holds its reservation.
 		time.Sleep(time.Second)
-		srv.Wake()
+		srv.DispatchWaiting()
 		if got, want := srv.Waiting(), 1; got != want {
 			t.Fatalf("waiting: got %d, want %d", got, want)
 		}
--- a/gateway/scenario_test.go
+++ b/gateway/scenario_test.go
@@ -222,7 +222,7 @@
 	case "beat": // beat ENGINE: writes its entry again with the state ready
 		sit.beat(args[1], "ready")
 	case "leaves": // leaves ENGINE: the engine's report says from now on that it leaves
-		sit.engines[args[1]].SetLeaves()
+		sit.engines[args[1]].SetDraining()
 	case "full": // full ENGINE: it refuses copies from now on
 		sit.engines[args[1]].RefuseCopies()
 	case "reuse": // reuse ENGINE NEW: another endpoint answers at its address; its entry remains
@@ -339,7 +339,7 @@
 	case "cut": // cut CALL: waits until the endpoint has detected that the connection was closed
 		sit.await("the endpoint to notice", func() bool {
 			runs := sit.runs(args[1], nil)
-			return len(runs) == 1 && runs[0].Cut
+			return len(runs) == 1 && runs[0].CallerDisconnected
 		})
 	case "organisation": // organisation CALL NAME: the endpoint received this organisation and no key
 		for _, run := range sit.runs(args[1], nil) {
--- a/papayacroft/cluster.go
+++ b/papayacroft/cluster.go
@@ -134,7 +134,7 @@
 			continue
 		}
 		answered, listRead = true, listRead || !one.Status.VMsReadAt.IsZero()
-		for _, name := range one.Status.Unmet {
+		for _, name := range one.Status.VMsWithoutDaemon {
 			rows = append(rows, &statusRow{Name: name, Error: "the platform lists it as live, but its daemon is unknown or gone"})
 		}
 	}
--- a/papayacroft/cmd_publish_test.go
+++ b/papayacroft/cmd_publish_test.go
@@ -22,7 +22,7 @@
 			return
 		}
 		_ = json.NewEncoder(wri).Encode(daemon.Status{
-			Name: "entry-1", Version: 1, VMsReadAt: time.Now(), Unmet: []string{"entry-2"},
+			Name: "entry-1", Version: 1, VMsReadAt: time.Now(), VMsWithoutDaemon: []string{"entry-2"},
 			Outcomes: []configuration.Outcome{{PublishID: "one", Verdict: configuration.VerdictAccepted, Version: 1}},
 		})
 	}))
--- a/papayacroft/cmd_status.go
+++ b/papayacroft/cmd_status.go
@@ -52,7 +52,7 @@
 		state = "noConfiguration"
 	case !row.Status.DrainingSince.IsZero():
 		state = "draining"
-	case row.Status.Behind:
+	case row.Status.AwaitsSnapshot:
 		state = "ready, waiting for a snapshot"
 	}
 	printf(wri, "%s %s %s version %d since %s %s", row.Address, row.Status.Name, row.Status.FailureDomain,
--- a/papayacroft/restore.go
+++ b/papayacroft/restore.go
@@ -21,7 +21,7 @@
 		if row.Status == nil {
 			return trace.ConnectionProblem(nil, "nothing was published, because %s does not answer and may hold the records that expired: %s", row.label(), row.Error)
 		}
-		if !row.Status.Behind {
+		if !row.Status.AwaitsSnapshot {
 			return trace.CompareFailed("nothing was published, because %s is not behind; the other daemons fetch its version %d", row.label(), row.Status.Version)
 		}
 		reported = append(reported, configuration.ReportedVersion{Version: row.Status.Version, Offset: row.Status.Offset, Outcomes: row.Status.Outcomes})
--- a/soak/engine.go
+++ b/soak/engine.go
@@ -103,7 +103,7 @@
 	id := eng.current.ID
 	eng.state = "draining"
 	eng.drains[id] = time.Now()
-	eng.current.SetLeaves()
+	eng.current.SetDraining()
 	if vanishes {
 		eng.silent = true
 		eng.store.Put("keyed.servers", id, nil)
--- a/soak/world.go
+++ b/soak/world.go
@@ -34,7 +34,7 @@
 var domains = []string{"a", "b", "c"}
 
 var engineModes = []standin.EngineMode{
-	standin.EngineSheds, standin.EngineFails, standin.EngineCuts, standin.EngineForeign, standin.EngineUnsigned,
+	standin.EngineRefuses, standin.EngineFails, standin.EngineCuts, standin.EngineWrongAttemptID, standin.EngineUnsigned,
 }
 
 // world is a site with real daemons, and with stand-ins for the store and the endpoints.
--- a/standin/siteengine.go
+++ b/standin/siteengine.go
@@ -19,7 +19,7 @@
 	// EngineServes runs each request and answers it.
 	EngineServes EngineMode = ""
 	// EngineSheds refuses each request with status 503 and the header Not-Executed.
-	EngineSheds EngineMode = "sheds"
+	EngineRefuses EngineMode = "sheds"
 	// EngineFails runs each request and answers with status 500.
 	EngineFails EngineMode = "fails"
 	// EngineCuts runs each request and closes the connection in the middle of the response.
@@ -27,7 +27,7 @@
 	// EngineHangs runs each request and never answers.
 	EngineHangs EngineMode = "hangs"
 	// EngineForeign answers with the attempt id of another request.
-	EngineForeign EngineMode = "foreign"
+	EngineWrongAttemptID EngineMode = "foreign"
 	// EngineCrashes stops the endpoint when it runs a request.
 	EngineCrashes EngineMode = "crashes"
 	// EngineUnsigned answers without a response signature.
@@ -48,7 +48,7 @@
 	Deadline int
 	Body     string
 	// Cut is true if the caller closed the connection before the response was complete.
-	Cut bool
+	CallerDisconnected bool
 }
 
 // SiteEngine stands in for an endpoint on the users' machines. It answers plain calls and runs generations, which can
@@ -101,7 +101,7 @@
 }
 
 // SetLeaves makes the endpoint report the state "draining" with the time until it leaves.
-func (sen *SiteEngine) SetLeaves() {
+func (sen *SiteEngine) SetDraining() {
 	sen.mutex.Lock()
 	defer sen.mutex.Unlock()
 	sen.leaving = true
@@ -245,7 +245,7 @@
 		made, ok := sen.copies[handle]
 		delete(sen.copies, handle)
 		if !ok {
-			mode = EngineSheds
+			mode = EngineRefuses
 		}
 		from = made
 	}
@@ -253,7 +253,7 @@
 		from = last
 	}
 	sen.mutex.Unlock()
-	if mode == EngineSheds {
+	if mode == EngineRefuses {
 		wri.Header().Set("Not-Executed", "1")
 		wri.WriteHeader(http.StatusServiceUnavailable)
 		return
@@ -272,7 +272,7 @@
 func (sen *SiteEngine) answer(wri http.ResponseWriter, req *http.Request, run *SiteRun, mode EngineMode, from int) {
 	hdr := wri.Header()
 	hdr.Set("Attempt-Id", run.CallID)
-	if mode == EngineForeign {
+	if mode == EngineWrongAttemptID {
 		hdr.Set("Attempt-Id", "another")
 	}
 	if mode != EngineUnsigned {
@@ -347,5 +347,5 @@
 func (sen *SiteEngine) markCut(run *SiteRun) {
 	sen.mutex.Lock()
 	defer sen.mutex.Unlock()
-	run.Cut = true
+	run.CallerDisconnected = true
 }
