--- a/admission/controller.go
+++ b/admission/controller.go
@@ -62,8 +62,8 @@
 	return &Controller{Tracker: trk, Lengths: &Lengths{}, Level: NewLevel(), Queue: NewQueue(), windows: map[string]*Window{}}
 }
 
-// Watch makes the controller raise the level when the tracker's load reports show preemptions. As the engines are shared,
-// preemptions are counted in proportion to this daemon's part of the generations on the engine.
+// ObservePreemptions makes the controller raise the level when the tracker's load reports show preemptions. As the
+// engines are shared, preemptions are counted in proportion to this daemon's part of the generations on the engine.
 func (ctl *Controller) ObservePreemptions() {
 	trk := ctl.Tracker
 	trk.OnPreempted = func(name string, count int64) {
@@ -156,8 +156,8 @@
 	return win
 }
 
-// begin counts a ticket as sent to an endpoint and charges its organisation: one unit for a call to a plain service, the
-// prompt and the reserved output for a generation.
+// begin counts a ticket as sent to an endpoint and charges its organisation: one unit for a call to a plain service,
+// the prompt and the reserved output for a generation.
 func (ctl *Controller) begin(now time.Time, tkt *Ticket, name string) *routing.Flight {
 	if tkt.Request.Model == "" {
 		ctl.window(tkt.Request.Pool).Sent()
@@ -180,9 +180,9 @@
 	return ctl.Lengths.Remaining(tkt.kind, generated, tkt.MaxTokens, ctl.level())
 }
 
-// margin returns the share of each engine's memory that an organisation must leave free for the others, which is above 0
-// if it has more than largeShare of the recently served tokens. It never exceeds the share of the other organisations,
-// so that an organisation that is the only one may use all memory.
+// margin returns the share of each engine's memory that an organisation must leave free for the others, which is above
+// 0 if it has more than largeShare of the recently served tokens. It never exceeds the share of the other
+// organisations, so that an organisation that is the only one may use all memory.
 func (ctl *Controller) margin(organisation string) float64 {
 	part := ctl.Queue.Share(organisation)
 	return max(0, min(maxShareMargin, part-largeShare, 1-part))
@@ -207,7 +207,8 @@
 	}
 }
 
-// Answered counts the end of a call to a plain service and adapts the pool's window to the endpoint's load report.
+// ServiceCallEnded counts the end of a call to a plain service and adapts the pool's window to the endpoint's load
+// report.
 func (ctl *Controller) ServiceCallEnded(tkt *Ticket, name string) {
 	lod := ctl.Tracker.Status(name).Load
 	ctl.window(tkt.Request.Pool).Finished(lod.Waiting > lod.Running)
--- a/blackboard/board.go
+++ b/blackboard/board.go
@@ -50,7 +50,8 @@
 	VMsReadAt     time.Time
 	DrainingSince time.Time
 	Members       []membership.Member
-	// Transfer is the view of the configuration from which peers are answered and snapshots are appended to the log.
+	// ConfigurationView is the view of the configuration from which peers are answered and snapshots are appended to the
+	// log.
 	ConfigurationView *configuration.View
 	// Behind is true while this daemon waits for a snapshot because configuration records expired before it read them.
 	Behind bool
--- a/blackboard/input.go
+++ b/blackboard/input.go
@@ -12,7 +12,7 @@
 
 // LogBatch is the input with the records that a read of the configuration stream returned.
 type LogBatch struct {
-	// Asked is the offset from which the read began.
+	// From is the offset from which the read began.
 	From   int64
 	Batch  provider.Batch
 	Logger logrus.FieldLogger
@@ -55,8 +55,8 @@
 	brd.install(now, pco.Logger)
 }
 
-// install puts the newest configuration in force. After a restart the daemon does so only once it has reached the version
-// that its previous incarnation had in force, so that it does not serve with an older one.
+// install puts the newest configuration in force. After a restart the daemon does so only once it has reached the
+// version that its previous incarnation had in force, so that it does not serve with an older one.
 func (brd *Board) install(now time.Time, log logrus.FieldLogger) {
 	cur := brd.Configuration.Current
 	if cur.Number <= brd.InForce.Number || cur.Number < brd.VersionFloor {
--- a/catalog/fleet.go
+++ b/catalog/fleet.go
@@ -22,8 +22,8 @@
 	FailureDomain string
 	State         State
 	Slots         int
-	// BornAt is the time at which this incarnation started, in Unix milliseconds. It identifies the incarnation: after a
-	// restart under the same id it is greater.
+	// StartedAt is the time at which this incarnation started, in Unix milliseconds. It identifies the incarnation: after
+	// a restart under the same id it is greater.
 	StartedAt int64
 	// WarmAt is the time from which the endpoint has its full speed; it is slow until then, after a start.
 	WarmAt time.Time
@@ -36,14 +36,14 @@
 	return one == two
 }
 
-// Mark records that one incarnation of an endpoint is leaving, and since when this daemon has known.
+// LeavingMark records that one incarnation of an endpoint is leaving, and since when this daemon has known.
 type LeavingMark struct {
 	At        time.Time
 	StartedAt int64
 }
 
-// outageGrace is the time that endpoints have to register again after an outage of the store. Until then the daemon does
-// not act on removed entries, which may have expired only because endpoints could not renew them.
+// outageGrace is the time that endpoints have to register again after an outage of the store. Until then the daemon
+// does not act on removed entries, which may have expired only because endpoints could not renew them.
 const outageGrace = 2500 * time.Millisecond
 
 // Fleet is a daemon's view of the endpoints.
@@ -65,7 +65,7 @@
 	return &Fleet{Endpoints: map[string]Endpoint{}, Leaving: map[string]LeavingMark{}, pendingRemovals: map[string]time.Time{}}
 }
 
-// Outage records that the store could not be read. Removals of entries are delayed for outageGrace from then on.
+// RecordOutage records that the store could not be read. Removals of entries are delayed for outageGrace from then on.
 func (flt *Fleet) RecordOutage(now time.Time) {
 	flt.graceUntil = now.Add(outageGrace)
 }
@@ -126,7 +126,7 @@
 	return true
 }
 
-// Settle drops the endpoints that did not register again in time after an outage. It also deletes expired marks of
+// Expire drops the endpoints that did not register again in time after an outage. It also deletes expired marks of
 // endpoints without an entry.
 func (flt *Fleet) Expire(now time.Time) {
 	for id, until := range flt.pendingRemovals {
@@ -143,8 +143,8 @@
 	}
 }
 
-// leavingRetention is the time for which the mark of an endpoint without an entry is kept; it is well above the duration
-// of any drain.
+// leavingRetention is the time for which the mark of an endpoint without an entry is kept; it is well above the
+// duration of any drain.
 const leavingRetention = time.Minute
 
 // recordLeaving marks an endpoint as leaving unless it has a mark for the same or a later incarnation.
--- a/claim/acquirer.go
+++ b/claim/acquirer.go
@@ -19,12 +19,12 @@
 )
 
 const (
-	// Timeout bounds the wait for a claim, since a request that is refused quickly is better than one that hangs.
+	// AcquireTimeout bounds the wait for a claim, since a request that is refused quickly is better than one that hangs.
 	AcquireTimeout = 300 * time.Millisecond
 	// hedgeDelay is how long one writer may take before the next is asked as well; a loaded shard takes about 50 ms.
 	hedgeDelay = 100 * time.Millisecond
-	// handleTimeout is shorter than Timeout, so that a writer answers with an error before the calling daemon's deadline
-	// closes the connection between them.
+	// handleTimeout is shorter than AcquireTimeout, so that a writer answers with an error before the calling daemon's
+	// deadline closes the connection between them.
 	handleTimeout = 250 * time.Millisecond
 	// maxWriters is the number of daemons that write a shard. A daemon that is not one of them appends a claim itself
 	// only if they fail or are slow.
--- a/claim/claim.go
+++ b/claim/claim.go
@@ -27,8 +27,8 @@
 	maxKeyLead = 5 * time.Second
 )
 
-// Claim is a daemon incarnation's claim to send the request with a key. Key and Body are the digests that KeyDigest
-// and BodyDigest return.
+// Claim is a daemon incarnation's claim to send the request with a key. The fields KeyDigest and BodyDigest hold what
+// the functions of these names return.
 type Claim struct {
 	ID         string `json:"id"`
 	KeyDigest  string `json:"key"`
--- a/configuration/schedule.go
+++ b/configuration/schedule.go
@@ -10,7 +10,7 @@
 // before their own delay ends.
 const maxSnapshotDelay = 30 * time.Second
 
-// Schedule decides when a daemon appends a snapshot that is due.
+// SnapshotSchedule decides when a daemon appends a snapshot that is due.
 type SnapshotSchedule struct {
 	Retention time.Duration
 	Rand      *rand.Rand
--- a/daemon/admin.go
+++ b/daemon/admin.go
@@ -28,16 +28,16 @@
 	LogReadAt     time.Time `json:"logReadAt,omitzero"`
 	LogError      string    `json:"logError,omitempty"`
 	DrainingSince time.Time `json:"drainingSince,omitzero"`
-	// Behind is true while the daemon waits for a configuration snapshot because records of the configuration stream
-	// expired before it read them.
+	// AwaitsSnapshot is true while the daemon waits for a configuration snapshot because records of the configuration
+	// stream expired before it read them.
 	AwaitsSnapshot bool `json:"behind,omitempty"`
 	VMs            int  `json:"vms"`
 	// VMsReadAt is the time of the last successful read of the platform's VM list; zero before the first one.
 	VMsReadAt time.Time `json:"vmsReadAt,omitzero"`
 	// Members holds every daemon in the membership table, which gossip maintains.
 	Members []membership.Member `json:"members"`
-	// Unmet holds the names of live VMs in the platform's list that are no endpoints and whose daemon is gone or missing
-	// from the membership table.
+	// VMsWithoutDaemon holds the names of live VMs in the platform's list that are no endpoints and whose daemon is gone
+	// or missing from the membership table.
 	VMsWithoutDaemon []string                `json:"unmet,omitempty"`
 	Gossip           GossipTraffic           `json:"gossip"`
 	Outcomes         []configuration.Outcome `json:"outcomes"`
--- a/dispatch/balancer.go
+++ b/dispatch/balancer.go
@@ -131,7 +131,7 @@
 	ownFlights int
 }
 
-// Desk tracks the load and the failures of each endpoint and chooses endpoints by them.
+// Balancer tracks the load and the failures of each endpoint and chooses endpoints by them.
 type Balancer struct {
 	// FailureDomain is the failure domain of the daemon.
 	FailureDomain string
@@ -160,34 +160,34 @@
 	at    time.Time
 }
 
-// NewDesk returns a desk without any recorded load or failure.
+// NewBalancer returns a balancer without any recorded load or failure.
 func NewBalancer() *Balancer {
 	return &Balancer{endpoints: map[string]*endpoint{}}
 }
 
 // Choose scores the endpoints that accept new requests of the service and returns the best one that is not full.
 // The preference for some endpoints applies to engines only.
-func (dsk *Balancer) Choose(now time.Time, rnd *rand.Rand, cat *catalog.Catalog, flt catalog.FleetView, req *Request) Choice {
+func (bal *Balancer) Choose(now time.Time, rnd *rand.Rand, cat *catalog.Catalog, flt catalog.FleetView, req *Request) Choice {
 	if req.Preferred != nil && cat.Services[req.Service].Engine != nil {
-		if choice := dsk.choose(now, rnd, cat, flt, req, true); choice.Considered > 0 {
+		if choice := bal.choose(now, rnd, cat, flt, req, true); choice.Considered > 0 {
 			return choice
 		}
 	}
-	return dsk.choose(now, rnd, cat, flt, req, false)
+	return bal.choose(now, rnd, cat, flt, req, false)
 }
 
 // choose chooses among all eligible endpoints, or among the preferred ones only.
 // It adds a small random amount to each score to break ties.
-func (dsk *Balancer) choose(now time.Time, rnd *rand.Rand, cat *catalog.Catalog, flt catalog.FleetView, req *Request, preferred bool) Choice {
+func (bal *Balancer) choose(now time.Time, rnd *rand.Rand, cat *catalog.Catalog, flt catalog.FleetView, req *Request, preferred bool) Choice {
 	choice := Choice{Reason: ReasonNoEndpoint, Score: math.Inf(1)}
 	engine := cat.Services[req.Service].Engine
 	for id, edp := range flt.Endpoints {
-		sta, ok := dsk.eligible(flt, &edp, req)
+		sta, ok := bal.eligible(flt, &edp, req)
 		if !ok || preferred && !req.Preferred[id] {
 			continue
 		}
 		choice.Considered++
-		score, full := dsk.rate(now, sta, &edp, engine, req)
+		score, full := bal.rate(now, sta, &edp, engine, req)
 		if full && !req.Force {
 			if choice.Endpoint == nil {
 				choice.Reason = ReasonFull
@@ -205,18 +205,18 @@
 }
 
 // eligible reports whether an endpoint may serve the request, whatever its load, and returns the endpoint's state.
-func (dsk *Balancer) eligible(flt catalog.FleetView, edp *catalog.Endpoint, req *Request) (*endpoint, bool) {
+func (bal *Balancer) eligible(flt catalog.FleetView, edp *catalog.Endpoint, req *Request) (*endpoint, bool) {
 	if edp.Service != req.Service || edp.State != catalog.StateReady || req.Excluded[edp.ID] {
 		return nil, false
 	}
 	if _, leaving := flt.Leaving[edp.ID]; leaving {
 		return nil, false
 	}
-	return dsk.endpoint(edp.ID), true
+	return bal.endpoint(edp.ID), true
 }
 
 // rate returns the score of an endpoint, lower values being better, and whether the endpoint is full.
-func (dsk *Balancer) rate(now time.Time, sta *endpoint, edp *catalog.Endpoint, engine *catalog.Engine, req *Request) (score float64, full bool) {
+func (bal *Balancer) rate(now time.Time, sta *endpoint, edp *catalog.Endpoint, engine *catalog.Engine, req *Request) (score float64, full bool) {
 	use := sta.utilization(now, edp, engine, req)
 	score, full = use, use > req.limit()
 	if engine != nil {
@@ -227,7 +227,7 @@
 	switch {
 	case req.Source != "" && edp.FailureDomain != req.Source:
 		score += copyPenalty
-	case req.Source == "" && edp.FailureDomain != dsk.FailureDomain:
+	case req.Source == "" && edp.FailureDomain != bal.FailureDomain:
 		score += distancePenalty
 	}
 	if now.Before(edp.WarmAt) {
@@ -275,8 +275,8 @@
 }
 
 // Begin counts a request that is about to be sent to an endpoint.
-func (dsk *Balancer) Begin(id string, wrk Work) *Flight {
-	sta := dsk.endpoint(id)
+func (bal *Balancer) Begin(id string, wrk Work) *Flight {
+	sta := bal.endpoint(id)
 	sta.own.Flights++
 	sta.own.Tokens += wrk.Tokens
 	sta.own.Prefill += wrk.Prefill
@@ -284,36 +284,36 @@
 }
 
 // Started records the first event of a request: its prompt has been computed.
-func (dsk *Balancer) Started(flt *Flight) {
-	dsk.endpoint(flt.Endpoint).own.Prefill -= flt.Work.Prefill
+func (bal *Balancer) Started(flt *Flight) {
+	bal.endpoint(flt.Endpoint).own.Prefill -= flt.Work.Prefill
 	flt.Work.Prefill = 0
 }
 
 // End removes a request that has ended from the counts of its endpoint.
-func (dsk *Balancer) End(flt *Flight) {
-	sta := dsk.endpoint(flt.Endpoint)
+func (bal *Balancer) End(flt *Flight) {
+	sta := bal.endpoint(flt.Endpoint)
 	sta.own.Flights--
 	sta.own.Tokens -= flt.Work.Tokens
 	sta.own.Prefill -= flt.Work.Prefill
 }
 
 // Reported records a load report of an endpoint.
-func (dsk *Balancer) Reported(now time.Time, id string, running, waiting int) {
-	sta := dsk.endpoint(id)
+func (bal *Balancer) Reported(now time.Time, id string, running, waiting int) {
+	sta := bal.endpoint(id)
 	sta.report = Report{Running: running, Waiting: waiting, At: now, ownFlights: sta.own.Flights}
 }
 
 // Succeeded counts an answer of an endpoint.
-func (dsk *Balancer) Succeeded(now time.Time, id string) {
-	sta := dsk.endpoint(id)
+func (bal *Balancer) Succeeded(now time.Time, id string) {
+	sta := bal.endpoint(id)
 	sta.decay(now)
 	sta.successes++
 }
 
-// Failed counts a failure of an endpoint. If no connection to it could be opened (unreachable), it is tried last for the
-// next unreachablePause.
-func (dsk *Balancer) Failed(now time.Time, id string, unreachable bool) {
-	sta := dsk.endpoint(id)
+// Failed counts a failure of an endpoint. If no connection to it could be opened (unreachable), it is tried last for
+// the next unreachablePause.
+func (bal *Balancer) Failed(now time.Time, id string, unreachable bool) {
+	sta := bal.endpoint(id)
 	sta.decay(now)
 	sta.failures++
 	if unreachable {
@@ -321,11 +321,11 @@
 	}
 }
 
-// Peer records the usage that another daemon reports, by endpoint. Endpoints that are not in the report keep their
-// recorded usage; a zero usage removes it.
-func (dsk *Balancer) SetPeerUsage(now time.Time, name string, usage map[string]Usage) {
+// SetPeerUsage records the usage that another daemon reports, by endpoint. Endpoints that are not in the report keep
+// their recorded usage; a zero usage removes it.
+func (bal *Balancer) SetPeerUsage(now time.Time, name string, usage map[string]Usage) {
 	for id, usg := range usage {
-		sta := dsk.endpoint(id)
+		sta := bal.endpoint(id)
 		if usg == (Usage{}) {
 			delete(sta.peers, name)
 			continue
@@ -337,18 +337,18 @@
 	}
 }
 
-// Work returns the usage of an endpoint by this daemon.
-func (dsk *Balancer) UsageAt(id string) Usage {
-	if sta, ok := dsk.endpoints[id]; ok {
+// UsageAt returns the usage of an endpoint by this daemon.
+func (bal *Balancer) UsageAt(id string) Usage {
+	if sta, ok := bal.endpoints[id]; ok {
 		return sta.own
 	}
 	return Usage{}
 }
 
-// Own returns the usage by this daemon of each endpoint at which it has requests in flight.
-func (dsk *Balancer) LocalUsage() map[string]Usage {
+// LocalUsage returns the usage by this daemon of each endpoint at which it has requests in flight.
+func (bal *Balancer) LocalUsage() map[string]Usage {
 	own := map[string]Usage{}
-	for id, sta := range dsk.endpoints {
+	for id, sta := range bal.endpoints {
 		if sta.own.Flights > 0 {
 			own[id] = sta.own
 		}
@@ -357,8 +357,8 @@
 }
 
 // Ages returns the ages of the oldest endpoint report and of the oldest peer usage that Choose still uses.
-func (dsk *Balancer) Ages(now time.Time) (report, peer time.Duration) {
-	for _, sta := range dsk.endpoints {
+func (bal *Balancer) Ages(now time.Time) (report, peer time.Duration) {
+	for _, sta := range bal.endpoints {
 		if age := now.Sub(sta.report.At); age < reportLifetime {
 			report = max(report, age)
 		}
@@ -373,10 +373,10 @@
 
 // Forget removes the state of endpoints that are not in the fleet and at which this daemon has no requests in flight.
 // It also removes expired usage of peers.
-func (dsk *Balancer) Forget(now time.Time, flt catalog.FleetView) {
-	for id, sta := range dsk.endpoints {
+func (bal *Balancer) Forget(now time.Time, flt catalog.FleetView) {
+	for id, sta := range bal.endpoints {
 		if _, listed := flt.Endpoints[id]; !listed && sta.own.Flights == 0 {
-			delete(dsk.endpoints, id)
+			delete(bal.endpoints, id)
 		}
 		for name, per := range sta.peers {
 			if now.Sub(per.at) >= peerUsageLifetime {
@@ -387,11 +387,11 @@
 }
 
 // endpoint returns the state of an endpoint, and creates it if there is none.
-func (dsk *Balancer) endpoint(id string) *endpoint {
-	sta, ok := dsk.endpoints[id]
+func (bal *Balancer) endpoint(id string) *endpoint {
+	sta, ok := bal.endpoints[id]
 	if !ok {
 		sta = &endpoint{}
-		dsk.endpoints[id] = sta
+		bal.endpoints[id] = sta
 	}
 	return sta
 }
--- a/dispatch/balancer_test.go
+++ b/dispatch/balancer_test.go
@@ -81,8 +81,8 @@
 		{Name: "pool", Engine: &catalog.Engine{Slots: 8, CapacityTokens: capacity}}, {Name: "desk"},
 	}, nil)
 	vew := catalog.FleetView{Endpoints: map[string]catalog.Endpoint{}, Leaving: map[string]catalog.LeavingMark{}}
-	dsk := NewBalancer()
-	dsk.FailureDomain = "a"
+	bal := NewBalancer()
+	bal.FailureDomain = "a"
 	for id, eng := range cse.Engines {
 		state := catalog.StateReady
 		if eng.State != "" {
@@ -92,7 +92,7 @@
 		if eng.Leaves {
 			vew.Leaving[id] = catalog.LeavingMark{At: testNow}
 		}
-		eng.apply(dsk, id)
+		eng.apply(bal, id)
 	}
 	req := Request{
 		Service: service, Work: Work{Tokens: cse.Request.Tokens, Prefill: cse.Request.Prefill}, Target: cse.Request.Target,
@@ -104,42 +104,42 @@
 			req.Preferred[id] = true
 		}
 	}
-	return dsk.Choose(testNow, rnd, cat, vew, &req)
+	return bal.Choose(testNow, rnd, cat, vew, &req)
 }
 
-// apply records the load and the failures of the case's engine in the desk.
-func (eng *deskEngine) apply(dsk *Balancer, id string) {
+// apply records the load and the failures of the case's engine in the balancer.
+func (eng *deskEngine) apply(bal *Balancer, id string) {
 	for _, wrk := range eng.Own {
-		dsk.Begin(id, wrk)
+		bal.Begin(id, wrk)
 	}
 	for name, usg := range eng.Peers {
-		dsk.SetPeerUsage(testNow.Add(-eng.PeerAge), name, map[string]Usage{id: usg})
+		bal.SetPeerUsage(testNow.Add(-eng.PeerAge), name, map[string]Usage{id: usg})
 	}
 	for range eng.Failures {
-		dsk.Failed(testNow, id, false)
+		bal.Failed(testNow, id, false)
 	}
 	for range eng.Successes {
-		dsk.Succeeded(testNow, id)
+		bal.Succeeded(testNow, id)
 	}
 	if eng.Unreachable {
-		dsk.Failed(testNow, id, true)
+		bal.Failed(testNow, id, true)
 	}
 	if eng.Running > 0 {
-		dsk.Reported(testNow, id, eng.Running, 0)
+		bal.Reported(testNow, id, eng.Running, 0)
 	}
 }
 
 // Counts must return to zero when all requests have ended. Otherwise an engine looks busier after each request.
 func TestFlightsEnd(t *testing.T) {
-	dsk := NewBalancer()
-	one, two := dsk.Begin("e", Work{Tokens: 30, Prefill: 20}), dsk.Begin("e", Work{Tokens: 5, Prefill: 5})
-	dsk.Started(one)
-	dsk.End(one)
-	dsk.End(two)
-	if got, want := len(dsk.LocalUsage()), 0; got != want {
+	bal := NewBalancer()
+	one, two := bal.Begin("e", Work{Tokens: 30, Prefill: 20}), bal.Begin("e", Work{Tokens: 5, Prefill: 5})
+	bal.Started(one)
+	bal.End(one)
+	bal.End(two)
+	if got, want := len(bal.LocalUsage()), 0; got != want {
 		t.Errorf("got %d endpoints with work, want %d", got, want)
 	}
-	if got, want := dsk.endpoint("e").own, (Usage{}); got != want {
+	if got, want := bal.endpoint("e").own, (Usage{}); got != want {
 		t.Errorf("got usage %+v, want %+v", got, want)
 	}
 }
--- a/dispatch/rendezvous.go
+++ b/dispatch/rendezvous.go
@@ -7,10 +7,10 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Users returns the members that may send work to an endpoint, chosen by rendezvous hashing: the count members with the
-// highest hashes, or all members if there are not more than count. Daemons with the same member list compute the same
-// users, so the users of an endpoint can report their load there to each other. If every daemon sent work to every
-// engine, load reports could not reach all of them in time to take recent sends into account.
+// AssignedMembers returns the members that may send work to an endpoint, chosen by rendezvous hashing: the count
+// members with the highest hashes, or all members if there are not more than count. Daemons with the same member list
+// compute the same result, so the assigned members can report their load there to each other. If every daemon sent
+// work to every engine, load reports could not reach all of them in time to take recent sends into account.
 func AssignedMembers(endpoint string, members []string, count int) []string {
 	if len(members) <= count {
 		return members
@@ -26,9 +26,9 @@
 	slices.SortFunc(order, func(one, other ranked) int {
 		return cmp.Or(cmp.Compare(other.sum, one.sum), cmp.Compare(one.name, other.name))
 	})
-	users := make([]string, count)
-	for i := range users {
-		users[i] = order[i].name
+	assigned := make([]string, count)
+	for i := range assigned {
+		assigned[i] = order[i].name
 	}
-	return users
+	return assigned
 }
--- a/endpoint/client.go
+++ b/endpoint/client.go
@@ -39,7 +39,7 @@
 // Client calls endpoints over HTTP.
 type Client struct {
 	HTTP *http.Client
-	// Silence is the time without any byte after which a stream is interrupted.
+	// SilenceTimeout is the time without any byte after which a stream is interrupted.
 	SilenceTimeout time.Duration
 	// OnLoad, if set, receives each load report that a response carries in its header or stream.
 	OnLoad func(endpoint string, lod Load)
@@ -82,8 +82,8 @@
 	return clt.open(ctx, tgt, http.MethodGet, path, nil, generation, from)
 }
 
-// Cancel cancels a generation. If unreadFor is set, the engine does so only if the generation has had no reader for that
-// time.
+// Cancel cancels a generation. If unreadFor is set, the engine does so only if the generation has had no reader for
+// that time.
 func (clt *Client) Cancel(ctx context.Context, tgt Target, generation string, unreadFor time.Duration) error {
 	path := "/generations/" + generation
 	if unreadFor > 0 {
--- a/entry/lifecycle.go
+++ b/entry/lifecycle.go
@@ -41,7 +41,7 @@
 	srv.lifecycle.end()
 }
 
-// EndCalls aborts the calls that may not be repeated and have no answer yet; their callers get the outcome unknown.
+// AbortCalls aborts the calls that may not be repeated and have no answer yet; their callers get the outcome unknown.
 func (srv *Server) AbortCalls() {
 	srv.calls.end()
 }
--- a/entry/server.go
+++ b/entry/server.go
@@ -54,7 +54,7 @@
 	Logger     logrus.FieldLogger
 	Metrics    *metrics.Metrics
 	Now        func() time.Time
-	// OnModelAsked, if set, is called for each request for a generation.
+	// OnModelRequested, if set, is called for each request for a generation.
 	OnModelRequested func(idx *inventory.Index, team inventory.TeamRef, model string)
 
 	engines   *waitQueue
--- a/entry/waiting.go
+++ b/entry/waiting.go
@@ -40,8 +40,8 @@
 	return srv.engines.controller.Queue.Len()
 }
 
-// Wake dispatches the waiting requests that endpoints now have room for. It is called for each load report, and at
-// intervals because endpoint failures expire without a report.
+// DispatchWaiting dispatches the waiting requests that endpoints now have room for. It is called for each load report,
+// and at intervals because endpoint failures expire without a report.
 func (srv *Server) DispatchWaiting() {
 	srv.engines.wake(srv.Now(), srv.view())
 	srv.services.wake(srv.Now(), srv.view())
--- a/gateway/control.go
+++ b/gateway/control.go
@@ -128,24 +128,24 @@
 	return listed
 }
 
-// Published is the input for a configuration that was read from the store or received from a peer.
+// ConfigurationUpdate is the input for a configuration that was read from the store or received from a peer.
 type ConfigurationUpdate struct {
 	Catalog *catalog.Catalog
 	Source  string
 }
 
 // Apply puts the configuration in force unless the one in force has the same or a later version.
-func (pub ConfigurationUpdate) Apply(_ time.Time, ctl *Control) {
-	if ctl.catalog != nil && pub.Catalog.Version <= ctl.catalog.Version {
+func (upd ConfigurationUpdate) Apply(_ time.Time, ctl *Control) {
+	if ctl.catalog != nil && upd.Catalog.Version <= ctl.catalog.Version {
 		return
 	}
-	ctl.catalog = pub.Catalog
+	ctl.catalog = upd.Catalog
 	ctl.Logger.WithFields(logrus.Fields{
-		"version": pub.Catalog.Version, "source": pub.Source, "routes": len(pub.Catalog.Routes),
+		"version": upd.Catalog.Version, "source": upd.Source, "routes": len(upd.Catalog.Routes),
 	}).Info("configuration in force")
 }
 
-// Registered is the input for entries of endpoints in the store.
+// EndpointUpdate is the input for entries of endpoints in the store.
 type EndpointUpdate struct {
 	Endpoints []catalog.Endpoint
 	// Removed are the ids of the endpoints whose entries were removed.
@@ -155,15 +155,15 @@
 }
 
 // Apply updates the fleet with the entries.
-func (reg EndpointUpdate) Apply(now time.Time, ctl *Control) {
-	if reg.Whole {
-		ctl.fleet.Replace(now, reg.Endpoints)
+func (upd EndpointUpdate) Apply(now time.Time, ctl *Control) {
+	if upd.Whole {
+		ctl.fleet.Replace(now, upd.Endpoints)
 		return
 	}
-	for _, edp := range reg.Endpoints {
+	for _, edp := range upd.Endpoints {
 		ctl.fleet.Put(now, edp)
 	}
-	for _, id := range reg.Removed {
+	for _, id := range upd.Removed {
 		ctl.fleet.Remove(now, id)
 	}
 }
--- a/gateway/fetch.go
+++ b/gateway/fetch.go
@@ -29,8 +29,8 @@
 	address string
 }
 
-// noticeVersion queues a fetch from a peer if its configuration is newer. If a fetch is queued already, it drops this one:
-// the peer's next message announces the version again.
+// noticeVersion queues a fetch from a peer if its configuration is newer. If a fetch is queued already, it drops this
+// one: the peer's next message announces the version again.
 func (exc *Exchange) noticeVersion(version int64, address string) {
 	if address == "" || version <= currentVersion(exc.Control.Snapshot()) {
 		return
--- a/gateway/metrics.go
+++ b/gateway/metrics.go
@@ -93,7 +93,8 @@
 	})
 }
 
-// ages returns the ages of the oldest load report of an endpoint and of the oldest usage sent by a peer that decisions use.
+// ages returns the ages of the oldest load report of an endpoint and of the oldest usage sent by a peer that decisions
+// use.
 func (srv *Server) ages() (report, usage time.Duration) {
 	srv.mutex.Lock()
 	defer srv.mutex.Unlock()
--- a/gateway/move.go
+++ b/gateway/move.go
@@ -29,7 +29,7 @@
 	moveTries = 3
 )
 
-// Copied is an engine's response after it has copied a generation's memory.
+// CopyResult is an engine's response after it has copied a generation's memory.
 type CopyResult struct {
 	// Handle identifies the copy.
 	Handle string
@@ -220,7 +220,7 @@
 	flt := one.server.begin(target.ID, dispatch.Work{Tokens: one.work.Tokens})
 	defer one.server.end(flt)
 	began := one.server.Now()
-	cpd, rounds, err := one.copyRunning(ctx, source, target)
+	res, rounds, err := one.copyRunning(ctx, source, target)
 	if err != nil {
 		log.WithError(err).WithField(fieldElapsed, one.server.Now().Sub(began)).Info("generation could not be copied")
 		one.server.Metrics.moves.WithLabelValues("failed").Inc()
@@ -228,28 +228,28 @@
 	}
 	copied := one.server.Now()
 	if one.http.Context().Err() != nil {
-		one.dropCopy(source, cpd)
+		one.dropCopy(source, res)
 		return false
 	}
 	rest, err := engines.Copy(ctx, source.Address, one.ID, target.Address, true)
 	if err == nil && rest.Handle != "" {
-		cpd = rest
+		res = rest
 	}
 	log.WithFields(logrus.Fields{
-		"rounds": rounds, "copy": copied.Sub(began), "rest": one.server.Now().Sub(copied), "events": cpd.Events, "error": errorText(err),
+		"rounds": rounds, "copy": copied.Sub(began), "rest": one.server.Now().Sub(copied), "events": res.Events, "error": errorText(err),
 	}).Info("generation copied")
 	one.server.Metrics.moves.WithLabelValues("copied").Inc()
 	one.mutex.Lock()
-	one.copy = &memoryCopy{endpoint: target, name: engines.CopyName(source.Address, cpd.Handle)}
+	one.copy = &memoryCopy{endpoint: target, name: engines.CopyName(source.Address, res.Handle)}
 	one.mutex.Unlock()
 	return true
 }
 
 // dropCopy frees the copy of a generation whose caller disconnected.
-func (one *run) dropCopy(source *catalog.Endpoint, cpd CopyResult) {
+func (one *run) dropCopy(source *catalog.Endpoint, res CopyResult) {
 	ctx, cancel := context.WithTimeout(context.Background(), moveTimeout)
 	defer cancel()
-	if err := one.server.Engines.Drop(ctx, source.Address, cpd.Handle); err != nil {
+	if err := one.server.Engines.Drop(ctx, source.Address, res.Handle); err != nil {
 		one.logger.WithError(err).WithField(fieldEndpoint, source.ID).Info("copy could not be freed")
 	}
 }
@@ -257,7 +257,7 @@
 // copyRunning copies the memory while the generation runs, repeatedly, until a copy is short or copyTime has passed.
 // A short copy shows that little was added and that the links are free: the final copy, for which the generation
 // stops, would otherwise queue behind copies of other generations.
-func (one *run) copyRunning(ctx context.Context, source, target *catalog.Endpoint) (cpd CopyResult, rounds int, err error) {
+func (one *run) copyRunning(ctx context.Context, source, target *catalog.Endpoint) (res CopyResult, rounds int, err error) {
 	engine := one.server.Snapshots.Snapshot().Catalog.Services[one.service].Engine
 	one.mutex.Lock()
 	events := one.events
@@ -266,10 +266,10 @@
 	first := one.server.Now()
 	for began := first; ; {
 		rounds++
-		cpd, err = one.server.Engines.Copy(ctx, source.Address, one.ID, target.Address, false)
+		res, err = one.server.Engines.Copy(ctx, source.Address, one.ID, target.Address, false)
 		now := one.server.Now()
 		if err != nil || now.Sub(began) < expected+shortCopy || now.Sub(first) > copyTime {
-			return cpd, rounds, err
+			return res, rounds, err
 		}
 		began, expected = now, 0
 	}
--- a/gateway/notices.go
+++ b/gateway/notices.go
@@ -34,8 +34,8 @@
 	exc.notify(context.Background(), exc.addresses(maxAddressees), leavingMethod, &message{Name: exc.Name, Leaving: bornAt})
 }
 
-// ShareTopic queues a topic part to be sent to the peers by RunNotices. It does not block: if the queue is full, the part
-// is dropped.
+// ShareTopic queues a topic part to be sent to the peers by RunNotices. It does not block: if the queue is full, the
+// part is dropped.
 func (exc *Exchange) ShareTopic(part *TopicPart) {
 	select {
 	case exc.parts <- part:
--- a/gateway/prober.go
+++ b/gateway/prober.go
@@ -67,8 +67,8 @@
 	prb.Exchange.ShareLeaving(bornAt)
 }
 
-// assignedEngines returns the engines that the named member probes. Members with the same view of engines and members derive
-// the same assignment.
+// assignedEngines returns the engines that the named member probes. Members with the same view of engines and members
+// derive the same assignment.
 func assignedEngines(snp *Snapshot, name string, members []string) []catalog.Endpoint {
 	var endpoints []catalog.Endpoint
 	for id, edp := range snp.Fleet.Endpoints {
--- a/gateway/server.go
+++ b/gateway/server.go
@@ -67,7 +67,7 @@
 	// OnWork, if set, is called when a generation was sent to an engine or has ended there; it must not block.
 	OnWork func(endpoint string)
 
-	// mutex guards Desk, Budget and Suspects.
+	// mutex guards Balancer, Budget and Suspects.
 	mutex    sync.Mutex
 	inFlight atomic.Int64
 	// waiting is the number of streams that wait for free capacity at an engine.
--- a/gateway/wire.go
+++ b/gateway/wire.go
@@ -36,7 +36,7 @@
 	Organisation string
 	// Endpoint is the id of the intended endpoint; an endpoint with another id refuses the request.
 	Endpoint string
-	// Left is the time left until the request's deadline.
+	// TimeLeft is the time left until the request's deadline.
 	TimeLeft time.Duration
 	// Priority is the request's rank in the engine's queue, where 0 is served first; a negative rank is not sent.
 	Priority int
--- a/lease/keeper.go
+++ b/lease/keeper.go
@@ -34,7 +34,8 @@
 
 	mutex sync.Mutex
 	table *Table
-	// since is the end of the first read of the leases, or of the first one after reads failed for a refresh interval or more.
+	// since is the end of the first read of the leases, or of the first one after reads failed for a refresh interval or
+	// more.
 	since time.Time
 	// vacant holds the time at which this daemon first saw a pool without a lease.
 	vacant map[string]time.Time
@@ -58,7 +59,7 @@
 	}
 }
 
-// Follow reads the lease stream once, waiting up to the given time for a record.
+// ReadLeases reads the lease stream once, waiting up to the given time for a record.
 func (kep *Keeper) ReadLeases(ctx context.Context, wait time.Duration) error {
 	kep.mutex.Lock()
 	next := kep.table.Next
@@ -94,7 +95,7 @@
 	}
 }
 
-// FollowRenewals reads the renewals of one pool once, if this daemon watches the pool.
+// ReadRenewals reads the renewals of one pool once, if this daemon watches the pool.
 func (kep *Keeper) ReadRenewals(ctx context.Context, pool string) error {
 	kep.mutex.Lock()
 	wat, ok := kep.watches[pool]
@@ -163,7 +164,7 @@
 	return nil
 }
 
-// Due reports whether this holder should refresh the pool's lease or take a vacant or expired one.
+// TakeDue reports whether this holder should refresh the pool's lease or take a vacant or expired one.
 // Daemons that are not first in the pool's ranking pass a grace period, so that they don't race for the lease.
 // Nothing is due while the last read of the lease stream is older than Duration.
 func (kep *Keeper) TakeDue(pool string, grace time.Duration) bool {
--- a/limit/agent.go
+++ b/limit/agent.go
@@ -29,7 +29,7 @@
 	Members []membership.Member
 	// VMs is the number of daemons on the platform's list of VMs.
 	VMs int
-	// Over reports whether an organisation's owner has announced that it is near or over its limit.
+	// OverLimit reports whether an organisation's owner has announced that it is near or over its limit.
 	OverLimit func(organisation string) bool
 }
 
@@ -57,7 +57,7 @@
 	Owner       *Owner
 	Peers       Caller
 	View        func() View
-	// Announce gossips the organisations that are over their limit to all daemons, each with the time until which
+	// AnnounceOverLimit gossips the organisations that are over their limit to all daemons, each with the time until which
 	// it counts as such.
 	AnnounceOverLimit func(now time.Time, over map[string]time.Time)
 
@@ -65,7 +65,7 @@
 	members string
 }
 
-// NewAgent returns an agent that needs Peers, View and Announce set before Run.
+// NewAgent returns an agent that needs Peers, View and AnnounceOverLimit set before Run.
 func NewAgent(incarnation string) *Agent {
 	agt := &Agent{Incarnation: incarnation, Limiter: NewLimiter(), Owner: NewOwner()}
 	agt.Limiter.Nodes = func() Nodes { return agt.View().nodes() }
--- a/membership/events_test.go
+++ b/membership/events_test.go
@@ -142,7 +142,8 @@
 	}
 }
 
-// Guards against a member that resumes after the others declared it gone and stays gone for them, or declares them gone.
+// Guards against a member that resumes after the others declared it gone and stays gone for them, or declares them
+// gone.
 func TestFleetMemberWakes(t *testing.T) {
 	flt := settled(t)
 	asleep := flt.nodes[7:8]
--- a/membership/exchange.go
+++ b/membership/exchange.go
@@ -50,7 +50,7 @@
 	RecentStarts int `json:"y,omitempty"`
 	// Leaving holds notices of leaving endpoints.
 	Leaving []Notice `json:"leaving,omitempty"`
-	// Over holds an organisation that is over its limit, and the seconds after which that information expires.
+	// OverLimit holds an organisation that is over its limit, and the seconds after which that information expires.
 	OverLimit map[string]int `json:"over,omitempty"`
 }
 
--- a/membership/fleet_test.go
+++ b/membership/fleet_test.go
@@ -168,8 +168,8 @@
 	flt.bytes += 2 * bytes
 }
 
-// rate returns the mean over all nodes and the greatest rate of a node, in bytes sent and received per second, and resets
-// the counts.
+// rate returns the mean over all nodes and the greatest rate of a node, in bytes sent and received per second, and
+// resets the counts.
 func (flt *fleet) rate(dur time.Duration) (mean, most int) {
 	for _, node := range flt.nodes {
 		mean += node.bytes
--- a/membership/message.go
+++ b/membership/message.go
@@ -14,10 +14,11 @@
 	// pendingTime bounds the time for which messages carry a change before other entries; a change reaches
 	// 400 members in about ten exchanges.
 	pendingTime = 30 * time.Second
-	// recentStartTime is the time for which a start is recent. Messages carry the number of recent starts, so that a daemon
-	// that missed one notices the difference.
+	// recentStartTime is the time for which a start is recent. Messages carry the number of recent starts, so that a
+	// daemon that missed one notices the difference.
 	recentStartTime = 5 * time.Minute
-	// justStartedTime is the time after a member's start for which messages to it carry the entry of its former incarnation.
+	// justStartedTime is the time after a member's start for which messages to it carry the entry of its former
+	// incarnation.
 	justStartedTime = time.Minute
 	// antiEntropyChanges is the number of random changes in each message for daemons that missed them. Without these,
 	// some of 400 daemons took one of 240 lost members for live for ten minutes.
@@ -32,7 +33,7 @@
 	sends      int
 }
 
-// Notice stores the notice of a leaving endpoint and reports whether it is new.
+// AddNotice stores the notice of a leaving endpoint and reports whether it is new.
 func (tab *Table) AddNotice(now time.Time, ntc Notice) bool {
 	if ntc.Endpoint == "" || size(ntc) > maxNoticeBytes {
 		return false
--- a/membership/over.go
+++ b/membership/over.go
@@ -21,8 +21,8 @@
 	sends int
 }
 
-// Over marks an organisation as over its limit for some time. Messages carry durations instead of times, so that
-// clocks need not agree. A duration only decreases when daemons pass it on, so that an outdated mark expires.
+// MarkOverLimit marks an organisation as over its limit for some time. Messages carry durations instead of times, so
+// that clocks need not agree. A duration only decreases when daemons pass it on, so that an outdated mark expires.
 func (tab *Table) MarkOverLimit(now time.Time, organisation string, left time.Duration) {
 	until := now.Add(min(left, maxOverLimitTime))
 	rec, ok := tab.over[organisation]
@@ -35,13 +35,14 @@
 	}
 }
 
-// IsOver reports whether an organisation is marked as over its limit.
+// IsOverLimit reports whether an organisation is marked as over its limit.
 func (tab *Table) IsOverLimit(now time.Time, organisation string) bool {
 	rec, ok := tab.over[organisation]
 	return ok && now.Before(rec.until)
 }
 
-// addOverLimit adds the organisation that was sent least often, if there is room. One organisation per message bounds the bytes.
+// addOverLimit adds the organisation that was sent least often, if there is room. One organisation per message bounds
+// the bytes.
 func (tab *Table) addOverLimit(now time.Time, cps *composer) {
 	names := sortedNames(tab.over)
 	if len(names) == 0 {
--- a/membership/table.go
+++ b/membership/table.go
@@ -121,7 +121,7 @@
 	return true
 }
 
-// Former returns the greatest version of the configuration that another incarnation of this daemon had in force.
+// FormerVersion returns the greatest version of the configuration that another incarnation of this daemon had in force.
 func (tab *Table) FormerVersion() int64 {
 	return tab.formerVersion
 }
--- a/placement/asked.go
+++ b/placement/asked.go
@@ -6,27 +6,27 @@
 	"papayacroft/inventory"
 )
 
-// Asked counts the requests that this daemon received per model. Models without an engine have no load report, so
-// these counts are the only sign of demand for them.
+// RequestCounter counts the requests that this daemon received per model. Models without an engine have no load report,
+// so these counts are the only sign of demand for them.
 type RequestCounter struct {
 	mutex  sync.Mutex
 	counts map[string]int
 }
 
-// NewAsked returns a counter without requests.
+// NewRequestCounter returns a counter without requests.
 func NewRequestCounter() *RequestCounter {
 	return &RequestCounter{counts: map[string]int{}}
 }
 
 // Count counts a request for a model, if the team is approved for at least one endpoint of the model's pools.
 // Requests of other teams must not cause an engine to be moved.
-func (ask *RequestCounter) Count(idx *inventory.Index, team inventory.TeamRef, model string) {
+func (cnt *RequestCounter) Count(idx *inventory.Index, team inventory.TeamRef, model string) {
 	for _, pool := range idx.ModelPools(model) {
 		for _, edp := range idx.PoolEndpoints(pool) {
 			if idx.Approved(team, edp) {
-				ask.mutex.Lock()
-				defer ask.mutex.Unlock()
-				ask.counts[model]++
+				cnt.mutex.Lock()
+				defer cnt.mutex.Unlock()
+				cnt.counts[model]++
 				return
 			}
 		}
@@ -34,10 +34,10 @@
 }
 
 // Take returns the number of requests for a model since the last call, and resets it.
-func (ask *RequestCounter) Take(model string) int {
-	ask.mutex.Lock()
-	defer ask.mutex.Unlock()
-	count := ask.counts[model]
-	delete(ask.counts, model)
+func (cnt *RequestCounter) Take(model string) int {
+	cnt.mutex.Lock()
+	defer cnt.mutex.Unlock()
+	count := cnt.counts[model]
+	delete(cnt.counts, model)
 	return count
 }
--- a/placement/demand.go
+++ b/placement/demand.go
@@ -35,7 +35,7 @@
 	dem.at = now
 }
 
-// Of returns the smoothed demand for a model.
+// Value returns the smoothed demand for a model.
 func (dem *Demand) Value(model string) float64 {
 	return dem.values[model]
 }
--- a/provider/http.go
+++ b/provider/http.go
@@ -37,7 +37,7 @@
 }
 
 // Append adds a record and returns its offset.
-// After an error for which NotSent is false the log may or may not contain the record.
+// After an error for which NotProcessed is false the log may or may not contain the record.
 func (hlg *HTTPLog) Append(ctx context.Context, stream string, body []byte) (int64, error) {
 	var reply struct {
 		Offset int64 `json:"offset"`
@@ -127,7 +127,7 @@
 	return trace.Wrap(exchange(ctx, hws.Client, http.MethodPost, hws.URL+"/loads", body, nil))
 }
 
-// NotSent reports whether a call failed before the service could act on it: no connection could be opened, or the
+// NotProcessed reports whether a call failed before the service could act on it: no connection could be opened, or the
 // service rejected the call because of its rate limit.
 func NotProcessed(err error) bool {
 	var opErr *net.OpError
--- a/retry/budget.go
+++ b/retry/budget.go
@@ -14,7 +14,7 @@
 const (
 	// RequestShare is the number of retries that each request adds to an account.
 	RequestShare = 0.1
-	// PerSecond is the number of retries that are added to an account per second.
+	// RefillPerSecond is the number of retries that are added to an account per second.
 	RefillPerSecond = 1.0
 	// Burst is the largest number of retries that an account can hold.
 	Burst = 10.0
--- a/routing/affinity.go
+++ b/routing/affinity.go
@@ -8,8 +8,9 @@
 
 // prefixHome returns the index of the home of a prompt prefix: the engine that all daemons prefer for the prefix, so
 // that its cache holds it. It is chosen by rendezvous hashing over the usable engines; -1 means that there is none.
-// Hashing needs neither a record of sends nor messages. With 400 daemons, one daemon sees too few requests with a prefix
-// to learn where the prefix is cached, and sending the cache events of all engines would exceed the control budget.
+// Hashing needs neither a record of sends nor messages. With 400 daemons, one daemon sees too few requests with a
+// prefix to learn where the prefix is cached, and sending the cache events of all engines would exceed the control
+// budget.
 func prefixHome(digest string, engines []inventory.Endpoint, usable func(edp *inventory.Endpoint) bool) int {
 	home, highest := -1, uint64(0)
 	hash := xxhash.New()
--- a/routing/decide.go
+++ b/routing/decide.go
@@ -43,7 +43,7 @@
 	Closed map[string]bool
 	// MemoryMargin is the part of an engine's memory that is never reserved; 0 means capacityMargin.
 	MemoryMargin float64
-	// Without disables mechanisms, for measurements of their effect.
+	// Disabled holds the mechanisms that are switched off, for measurements of their effect.
 	Disabled Mechanisms
 }
 
--- a/routing/tracker.go
+++ b/routing/tracker.go
@@ -22,7 +22,7 @@
 // EndpointStatus is the state of an endpoint as this daemon sees it.
 type EndpointStatus struct {
 	Load endpoint.Load `json:"load"`
-	// HeardAt is when the last load report was received, by this daemon's clock.
+	// ReportedAt is when the last load report was received, by this daemon's clock.
 	ReportedAt time.Time `json:"heardAt,omitzero"`
 	InFlight   int       `json:"inFlight"`
 	// OthersTokens and OthersRunning are the memory and the number of generations in the report, less those of this
--- a/soak/world.go
+++ b/soak/world.go
@@ -261,8 +261,8 @@
 	}
 }
 
-// replace calls a function that ends the endpoint and starts another one after a pause. It does nothing if another fault
-// is already replacing the endpoint.
+// replace calls a function that ends the endpoint and starts another one after a pause. It does nothing if another
+// fault is already replacing the endpoint.
 func (eng *engine) replace(pause time.Duration, end func()) {
 	if !eng.replacing.TryLock() {
 		return
@@ -282,7 +282,8 @@
 	wld.keys = append(wld.keys, keyVersion{at: time.Now(), hasTwo: hasTwo})
 }
 
-// configuration returns a configuration with a plain service, a service of engines and a route for each kind of request.
+// configuration returns a configuration with a plain service, a service of engines and a route for each kind of
+// request.
 func configuration(version int, hasTwo bool) []byte {
 	route := func(name, kind, service string, resumable bool) map[string]any {
 		return map[string]any{
--- a/standin/siteengine.go
+++ b/standin/siteengine.go
@@ -18,7 +18,7 @@
 const (
 	// EngineServes runs each request and answers it.
 	EngineServes EngineMode = ""
-	// EngineSheds refuses each request with status 503 and the header Not-Executed.
+	// EngineRefuses refuses each request with status 503 and the header Not-Executed.
 	EngineRefuses EngineMode = "sheds"
 	// EngineFails runs each request and answers with status 500.
 	EngineFails EngineMode = "fails"
@@ -26,7 +26,7 @@
 	EngineCuts EngineMode = "cuts"
 	// EngineHangs runs each request and never answers.
 	EngineHangs EngineMode = "hangs"
-	// EngineForeign answers with the attempt id of another request.
+	// EngineWrongAttemptID answers with the attempt id of another request.
 	EngineWrongAttemptID EngineMode = "foreign"
 	// EngineCrashes stops the endpoint when it runs a request.
 	EngineCrashes EngineMode = "crashes"
@@ -47,7 +47,7 @@
 	// Deadline is the request's Deadline-Ms header, in milliseconds.
 	Deadline int
 	Body     string
-	// Cut is true if the caller closed the connection before the response was complete.
+	// CallerDisconnected is true if the caller closed the connection before the response was complete.
 	CallerDisconnected bool
 }
 
@@ -100,7 +100,7 @@
 	sen.mode = mode
 }
 
-// SetLeaves makes the endpoint report the state "draining" with the time until it leaves.
+// SetDraining makes the endpoint report the state "draining" with the time until it leaves.
 func (sen *SiteEngine) SetDraining() {
 	sen.mutex.Lock()
 	defer sen.mutex.Unlock()
