--- a/blackboard/input.go
+++ b/blackboard/input.go
@@ -12,8 +12,8 @@
 
 // LogBatch is the input with the records that a read of the configuration stream returned.
 type LogBatch struct {
-	// Asked is the offset from which the read began.
-	Asked  int64
+	// From is the offset from which the read began.
+	From   int64
 	Batch  provider.Batch
 	Logger logrus.FieldLogger
 	// Next receives the offset to read from next. It must be buffered, so that the control goroutine does not block.
@@ -24,12 +24,12 @@
 func (bat LogBatch) Apply(now time.Time, brd *Board) {
 	brd.LogReadAt, brd.LogError = now, ""
 	behind := brd.Configuration.Behind()
-	_, errs := brd.Configuration.ApplyBatch(bat.Asked, bat.Batch)
+	_, errs := brd.Configuration.ApplyBatch(bat.From, bat.Batch)
 	for _, err := range errs {
 		bat.Logger.WithError(err).Warn("ignored an invalid configuration record")
 	}
 	if !behind && brd.Configuration.Behind() {
-		bat.Logger.WithFields(logrus.Fields{"asked": bat.Asked, "first": bat.Batch.First}).
+		bat.Logger.WithFields(logrus.Fields{"asked": bat.From, "first": bat.Batch.First}).
 			Warn("configuration records expired before they were read; waiting for a snapshot")
 	}
 	brd.install(now, bat.Logger)
@@ -55,8 +55,8 @@
 	brd.install(now, pco.Logger)
 }
 
-// install puts the newest configuration in force. After a restart the daemon does so only once it has reached the version
-// that its previous incarnation had in force, so that it does not serve with an older one.
+// install puts the newest configuration in force. After a restart the daemon does so only once it has reached the
+// version that its previous incarnation had in force, so that it does not serve with an older one.
 func (brd *Board) install(now time.Time, log logrus.FieldLogger) {
 	cur := brd.Configuration.Current
 	if cur.Number <= brd.InForce.Number || cur.Number < brd.VersionFloor {
--- a/configuration/schedule.go
+++ b/configuration/schedule.go
@@ -10,8 +10,8 @@
 // before their own delay ends.
 const maxSnapshotDelay = 30 * time.Second
 
-// Schedule decides when a daemon appends a snapshot that is due.
-type Schedule struct {
+// SnapshotSchedule decides when a daemon appends a snapshot that is due.
+type SnapshotSchedule struct {
 	Retention time.Duration
 	Rand      *rand.Rand
 
@@ -22,7 +22,7 @@
 // Step is called periodically with whether a snapshot is due, and reports whether to append one now.
 // It starts a random delay when a snapshot becomes due, and cancels it if the snapshot stops being due meanwhile,
 // because another daemon has appended one.
-func (sch *Schedule) Step(now time.Time, due bool) bool {
+func (sch *SnapshotSchedule) Step(now time.Time, due bool) bool {
 	switch {
 	case !due:
 		sch.appendAt = time.Time{}
--- a/dispatch/desk_test.go
+++ b/dispatch/balancer_test.go
@@ -40,9 +40,9 @@
 	Reason Reason
 }
 
-// TestChoose checks one decision under each load pattern of testdata/desk.yaml.
+// TestChoose checks one decision under each load pattern of testdata/balancer.yaml.
 func TestChoose(t *testing.T) {
-	data, err := os.ReadFile("testdata/desk.yaml")
+	data, err := os.ReadFile("testdata/balancer.yaml")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -80,9 +80,9 @@
 	cat := catalog.NewCatalog(1, nil, []catalog.Service{
 		{Name: "pool", Engine: &catalog.Engine{Slots: 8, CapacityTokens: capacity}}, {Name: "desk"},
 	}, nil)
-	vew := catalog.FleetView{Endpoints: map[string]catalog.Endpoint{}, Leaving: map[string]catalog.Mark{}}
-	dsk := NewDesk()
-	dsk.FailureDomain = "a"
+	vew := catalog.FleetView{Endpoints: map[string]catalog.Endpoint{}, Leaving: map[string]catalog.LeavingMark{}}
+	bal := NewBalancer()
+	bal.FailureDomain = "a"
 	for id, eng := range cse.Engines {
 		state := catalog.StateReady
 		if eng.State != "" {
@@ -90,9 +90,9 @@
 		}
 		vew.Endpoints[id] = catalog.Endpoint{ID: id, Service: service, FailureDomain: eng.Domain, State: state, Slots: 8}
 		if eng.Leaves {
-			vew.Leaving[id] = catalog.Mark{At: testNow}
+			vew.Leaving[id] = catalog.LeavingMark{At: testNow}
 		}
-		eng.apply(dsk, id)
+		eng.apply(bal, id)
 	}
 	req := Request{
 		Service: service, Work: Work{Tokens: cse.Request.Tokens, Prefill: cse.Request.Prefill}, Target: cse.Request.Target,
@@ -104,42 +104,42 @@
 			req.Preferred[id] = true
 		}
 	}
-	return dsk.Choose(testNow, rnd, cat, vew, &req)
+	return bal.Choose(testNow, rnd, cat, vew, &req)
 }
 
-// apply records the load and the failures of the case's engine in the desk.
-func (eng *deskEngine) apply(dsk *Desk, id string) {
+// apply records the load and the failures of the case's engine in the balancer.
+func (eng *deskEngine) apply(bal *Balancer, id string) {
 	for _, wrk := range eng.Own {
-		dsk.Begin(id, wrk)
+		bal.Begin(id, wrk)
 	}
 	for name, usg := range eng.Peers {
-		dsk.Peer(testNow.Add(-eng.PeerAge), name, map[string]Usage{id: usg})
+		bal.SetPeerUsage(testNow.Add(-eng.PeerAge), name, map[string]Usage{id: usg})
 	}
 	for range eng.Failures {
-		dsk.Failed(testNow, id, false)
+		bal.Failed(testNow, id, false)
 	}
 	for range eng.Successes {
-		dsk.Succeeded(testNow, id)
+		bal.Succeeded(testNow, id)
 	}
 	if eng.Unreachable {
-		dsk.Failed(testNow, id, true)
+		bal.Failed(testNow, id, true)
 	}
 	if eng.Running > 0 {
-		dsk.Reported(testNow, id, eng.Running, 0)
+		bal.Reported(testNow, id, eng.Running, 0)
 	}
 }
 
 // Counts must return to zero when all requests have ended. Otherwise an engine looks busier after each request.
 func TestFlightsEnd(t *testing.T) {
-	dsk := NewDesk()
-	one, two := dsk.Begin("e", Work{Tokens: 30, Prefill: 20}), dsk.Begin("e", Work{Tokens: 5, Prefill: 5})
-	dsk.Started(one)
-	dsk.End(one)
-	dsk.End(two)
-	if got, want := len(dsk.Own()), 0; got != want {
+	bal := NewBalancer()
+	one, two := bal.Begin("e", Work{Tokens: 30, Prefill: 20}), bal.Begin("e", Work{Tokens: 5, Prefill: 5})
+	bal.Started(one)
+	bal.End(one)
+	bal.End(two)
+	if got, want := len(bal.LocalUsage()), 0; got != want {
 		t.Errorf("got %d endpoints with work, want %d", got, want)
 	}
-	if got, want := dsk.endpoint("e").own, (Usage{}); got != want {
+	if got, want := bal.endpoint("e").own, (Usage{}); got != want {
 		t.Errorf("got usage %+v, want %+v", got, want)
 	}
 }
@@ -189,7 +189,7 @@
 	used := map[string]int{}
 	for engine := range 200 {
 		id := string(rune('A' + engine))
-		got, want := Users(id, members, 3), Users(id, other, 3)
+		got, want := AssignedMembers(id, members, 3), AssignedMembers(id, other, 3)
 		if len(got) != 3 {
 			t.Fatalf("got %d users, want 3", len(got))
 		}
--- a/endpoint/client.go
+++ b/endpoint/client.go
@@ -39,8 +39,8 @@
 // Client calls endpoints over HTTP.
 type Client struct {
 	HTTP *http.Client
-	// Silence is the time without any byte after which a stream is interrupted.
-	Silence time.Duration
+	// SilenceTimeout is the time without any byte after which a stream is interrupted.
+	SilenceTimeout time.Duration
 	// OnLoad, if set, receives each load report that a response carries in its header or stream.
 	OnLoad func(endpoint string, lod Load)
 }
@@ -53,7 +53,7 @@
 			MaxIdleConnsPerHost: 64,
 			IdleConnTimeout:     30 * time.Second,
 		}},
-		Silence: DefaultSilenceTimeout,
+		SilenceTimeout: DefaultSilenceTimeout,
 	}
 }
 
@@ -82,8 +82,8 @@
 	return clt.open(ctx, tgt, http.MethodGet, path, nil, generation, from)
 }
 
-// Cancel cancels a generation. If unreadFor is set, the engine does so only if the generation has had no reader for that
-// time.
+// Cancel cancels a generation. If unreadFor is set, the engine does so only if the generation has had no reader for
+// that time.
 func (clt *Client) Cancel(ctx context.Context, tgt Target, generation string, unreadFor time.Duration) error {
 	path := "/generations/" + generation
 	if unreadFor > 0 {
@@ -112,14 +112,14 @@
 
 func (clt *Client) open(ctx context.Context, tgt Target, method, path string, body []byte, generation string, from int) (*Stream, error) {
 	ctx, cancel := context.WithCancel(ctx)
-	watchdog := time.AfterFunc(clt.Silence, cancel)
+	watchdog := time.AfterFunc(clt.SilenceTimeout, cancel)
 	res, err := clt.do(ctx, unpooledClient, tgt, method, path, body) //nolint:bodyclose // The stream closes the body.
 	if err != nil {
 		watchdog.Stop()
 		cancel()
 		return nil, err
 	}
-	stm := newStream(res.Body, tgt, generation, from, clt.Silence, watchdog, cancel)
+	stm := newStream(res.Body, tgt, generation, from, clt.SilenceTimeout, watchdog, cancel)
 	stm.onLoad = clt.OnLoad
 	return stm, nil
 }
--- a/entry/server.go
+++ b/entry/server.go
@@ -54,8 +54,8 @@
 	Logger     logrus.FieldLogger
 	Metrics    *metrics.Metrics
 	Now        func() time.Time
-	// OnModelAsked, if set, is called for each request for a generation.
-	OnModelAsked func(idx *inventory.Index, team inventory.TeamRef, model string)
+	// OnModelRequested, if set, is called for each request for a generation.
+	OnModelRequested func(idx *inventory.Index, team inventory.TeamRef, model string)
 
 	engines   *waitQueue
 	services  *waitQueue
--- a/entry/waiting.go
+++ b/entry/waiting.go
@@ -29,7 +29,7 @@
 // BuildAdmission sets up the waiting queues for engines and for plain services; the tracker must be set before.
 func (srv *Server) BuildAdmission() {
 	srv.engines = newWaitQueue(admission.NewController(srv.Tracker))
-	srv.engines.controller.Watch()
+	srv.engines.controller.ObservePreemptions()
 	srv.services = newWaitQueue(admission.NewController(srv.Tracker))
 }
 
@@ -40,9 +40,9 @@
 	return srv.engines.controller.Queue.Len()
 }
 
-// Wake dispatches the waiting requests that endpoints now have room for. It is called for each load report, and at
-// intervals because endpoint failures expire without a report.
-func (srv *Server) Wake() {
+// DispatchWaiting dispatches the waiting requests that endpoints now have room for. It is called for each load report,
+// and at intervals because endpoint failures expire without a report.
+func (srv *Server) DispatchWaiting() {
 	srv.engines.wake(srv.Now(), srv.view())
 	srv.services.wake(srv.Now(), srv.view())
 }
--- a/gateway/fetch.go
+++ b/gateway/fetch.go
@@ -29,8 +29,8 @@
 	address string
 }
 
-// noticeVersion queues a fetch from a peer if its configuration is newer. If a fetch is queued already, it drops this one:
-// the peer's next message announces the version again.
+// noticeVersion queues a fetch from a peer if its configuration is newer. If a fetch is queued already, it drops this
+// one: the peer's next message announces the version again.
 func (exc *Exchange) noticeVersion(version int64, address string) {
 	if address == "" || version <= currentVersion(exc.Control.Snapshot()) {
 		return
@@ -84,7 +84,7 @@
 		exc.Logger.WithError(err).WithField("peer", address).Warn("configuration from a peer is invalid; ignored")
 		return
 	}
-	exc.Control.Send(ctx, Published{Catalog: cat, Source: address})
+	exc.Control.Send(ctx, ConfigurationUpdate{Catalog: cat, Source: address})
 }
 
 func (exc *Exchange) parsePacked(packed []byte) (*catalog.Catalog, error) {
--- a/gateway/prober.go
+++ b/gateway/prober.go
@@ -62,18 +62,18 @@
 		return
 	}
 	prb.Logger.WithFields(logrus.Fields{fieldEndpoint: edp.ID, "leavesIn": rpt.LeavesIn.String()}).Info("engine reports that it leaves")
-	bornAt := map[string]int64{edp.ID: edp.BornAt}
+	bornAt := map[string]int64{edp.ID: edp.StartedAt}
 	prb.Control.Send(ctx, Leaving{BornAt: bornAt, Source: "engine"})
 	prb.Exchange.ShareLeaving(bornAt)
 }
 
-// assignedEngines returns the engines that the named member probes. Members with the same view of engines and members derive
-// the same assignment.
+// assignedEngines returns the engines that the named member probes. Members with the same view of engines and members
+// derive the same assignment.
 func assignedEngines(snp *Snapshot, name string, members []string) []catalog.Endpoint {
 	var endpoints []catalog.Endpoint
 	for id, edp := range snp.Fleet.Endpoints {
 		_, leaving := snp.Fleet.Leaving[id]
-		if !leaving && snp.Catalog.Services[edp.Service].Engine != nil && dispatch.Users(id, members, 1)[0] == name {
+		if !leaving && snp.Catalog.Services[edp.Service].Engine != nil && dispatch.AssignedMembers(id, members, 1)[0] == name {
 			endpoints = append(endpoints, edp)
 		}
 	}
--- a/membership/exchange.go
+++ b/membership/exchange.go
@@ -50,8 +50,8 @@
 	RecentStarts int `json:"y,omitempty"`
 	// Leaving holds notices of leaving endpoints.
 	Leaving []Notice `json:"leaving,omitempty"`
-	// Over holds an organisation that is over its limit, and the seconds after which that information expires.
-	Over map[string]int `json:"over,omitempty"`
+	// OverLimit holds an organisation that is over its limit, and the seconds after which that information expires.
+	OverLimit map[string]int `json:"over,omitempty"`
 }
 
 // Notice says that an endpoint takes no new work.
--- a/membership/fleet_test.go
+++ b/membership/fleet_test.go
@@ -149,7 +149,7 @@
 	}
 	node.noticeForwarded = true
 	for _, tgt := range node.tab.Sample(flt.rnd, 8) {
-		flt.index[tgt.Name].tab.Notice(flt.now, notices[0])
+		flt.index[tgt.Name].tab.AddNotice(flt.now, notices[0])
 		flt.countBytes(node, flt.index[tgt.Name], size(notices[0])+2*rpcBytes)
 	}
 }
@@ -168,8 +168,8 @@
 	flt.bytes += 2 * bytes
 }
 
-// rate returns the mean over all nodes and the greatest rate of a node, in bytes sent and received per second, and resets
-// the counts.
+// rate returns the mean over all nodes and the greatest rate of a node, in bytes sent and received per second, and
+// resets the counts.
 func (flt *fleet) rate(dur time.Duration) (mean, most int) {
 	for _, node := range flt.nodes {
 		mean += node.bytes
--- a/standin/siteengine.go
+++ b/standin/siteengine.go
@@ -18,16 +18,16 @@
 const (
 	// EngineServes runs each request and answers it.
 	EngineServes EngineMode = ""
-	// EngineSheds refuses each request with status 503 and the header Not-Executed.
-	EngineSheds EngineMode = "sheds"
+	// EngineRefuses refuses each request with status 503 and the header Not-Executed.
+	EngineRefuses EngineMode = "sheds"
 	// EngineFails runs each request and answers with status 500.
 	EngineFails EngineMode = "fails"
 	// EngineCuts runs each request and closes the connection in the middle of the response.
 	EngineCuts EngineMode = "cuts"
 	// EngineHangs runs each request and never answers.
 	EngineHangs EngineMode = "hangs"
-	// EngineForeign answers with the attempt id of another request.
-	EngineForeign EngineMode = "foreign"
+	// EngineWrongAttemptID answers with the attempt id of another request.
+	EngineWrongAttemptID EngineMode = "foreign"
 	// EngineCrashes stops the endpoint when it runs a request.
 	EngineCrashes EngineMode = "crashes"
 	// EngineUnsigned answers without a response signature.
@@ -47,8 +47,8 @@
 	// Deadline is the request's Deadline-Ms header, in milliseconds.
 	Deadline int
 	Body     string
-	// Cut is true if the caller closed the connection before the response was complete.
-	Cut bool
+	// CallerDisconnected is true if the caller closed the connection before the response was complete.
+	CallerDisconnected bool
 }
 
 // SiteEngine stands in for an endpoint on the users' machines. It answers plain calls and runs generations, which can
@@ -100,8 +100,8 @@
 	sen.mode = mode
 }
 
-// SetLeaves makes the endpoint report the state "draining" with the time until it leaves.
-func (sen *SiteEngine) SetLeaves() {
+// SetDraining makes the endpoint report the state "draining" with the time until it leaves.
+func (sen *SiteEngine) SetDraining() {
 	sen.mutex.Lock()
 	defer sen.mutex.Unlock()
 	sen.leaving = true
@@ -245,7 +245,7 @@
 		made, ok := sen.copies[handle]
 		delete(sen.copies, handle)
 		if !ok {
-			mode = EngineSheds
+			mode = EngineRefuses
 		}
 		from = made
 	}
@@ -253,7 +253,7 @@
 		from = last
 	}
 	sen.mutex.Unlock()
-	if mode == EngineSheds {
+	if mode == EngineRefuses {
 		wri.Header().Set("Not-Executed", "1")
 		wri.WriteHeader(http.StatusServiceUnavailable)
 		return
@@ -272,7 +272,7 @@
 func (sen *SiteEngine) answer(wri http.ResponseWriter, req *http.Request, run *SiteRun, mode EngineMode, from int) {
 	hdr := wri.Header()
 	hdr.Set("Attempt-Id", run.CallID)
-	if mode == EngineForeign {
+	if mode == EngineWrongAttemptID {
 		hdr.Set("Attempt-Id", "another")
 	}
 	if mode != EngineUnsigned {
@@ -347,5 +347,5 @@
 func (sen *SiteEngine) markCut(run *SiteRun) {
 	sen.mutex.Lock()
 	defer sen.mutex.Unlock()
-	run.Cut = true
+	run.CallerDisconnected = true
 }
